--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -66,15 +66,18 @@
 }
 
 fn accept(node: &Arc<Node>, stream: TcpStream, close: watch::Receiver<bool>) {
-    if node.callers.count() >= MAX_CONNECTIONS {
+    if node.caller_connections.count() >= MAX_CONNECTIONS {
         // Closed unread, so that the caller knows that nothing ran.
-        log::warn!("event=connection_refused open={}", node.callers.count());
+        log::warn!(
+            "event=connection_refused open={}",
+            node.caller_connections.count()
+        );
         return;
     }
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=nodelay_failed error={}", logfmt::value(&error));
     }
-    let running = node.callers.begin();
+    let running = node.caller_connections.begin();
     let node = Arc::clone(node);
     tokio::spawn(async move {
         let _running = running;
--- a/crates/filbertgrade/src/process/node/dump.rs
+++ b/crates/filbertgrade/src/process/node/dump.rs
@@ -35,12 +35,12 @@
     let now = Instant::now();
     let version = node.deployment.load().as_ref().map_or(0, |d| d.version);
     metrics::gauge!("configuration_version").set(version as f64);
-    let age = lock(&node.evidence).age(now);
+    let age = lock(&node.store_health).age(now);
     metrics::gauge!("configuration_age_seconds").set(age.map_or(f64::NAN, |a| a.as_secs_f64()));
-    metrics::gauge!("requests_running").set(node.requests.count() as f64);
-    metrics::gauge!("caller_connections").set(node.callers.count() as f64);
+    metrics::gauge!("requests_running").set(node.running_requests.count() as f64);
+    metrics::gauge!("caller_connections").set(node.caller_connections.count() as f64);
     metrics::gauge!("vms_running").set(lock(&node.members).running(now).len() as f64);
-    metrics::gauge!("body_bytes_free").set(node.bodies.left() as f64);
+    metrics::gauge!("body_bytes_free").set(node.body_budget.left() as f64);
 }
 
 fn show_node(node: &Node) -> Value {
@@ -52,8 +52,8 @@
         "ready": node.is_ready(now),
         "leaving": node.is_leaving(),
         "configuration_version": node.deployment.load().as_ref().map(|d| d.version),
-        "configuration_age_ms": lock(&node.evidence).age(now).map(|a| a.as_millis() as u64),
-        "requests": node.requests.count(),
+        "configuration_age_ms": lock(&node.store_health).age(now).map(|a| a.as_millis() as u64),
+        "requests": node.running_requests.count(),
     })
 }
 
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -108,7 +108,7 @@
 
 fn header(node: &Node, now: Instant) -> WireHeartbeat {
     let heartbeat = node.heartbeat(now);
-    let steady = lock(&node.evidence).steady_for(node.started, now);
+    let steady = lock(&node.store_health).steady_for(node.started, now);
     WireHeartbeat {
         vm: node.settings.load().vm.as_str().to_owned(),
         incarnation: heartbeat.incarnation,
@@ -196,7 +196,7 @@
             Ok(Received::Question(question)) => {
                 tokens::answer(&node, &socket, from, &question).await;
             }
-            Ok(Received::Answer(answer)) => node.tokens.answered(&answer),
+            Ok(Received::Answer(answer)) => node.token_requests.answered(&answer),
             Err(error) => {
                 let error = logfmt::value(&error);
                 log::warn!("event=heartbeat_malformed bytes={len} error={error}");
@@ -255,7 +255,7 @@
             heartbeat.leaving,
         );
     }
-    store::heard_steady(node, store_steady, now);
+    store::record_peer_store_uptime(node, store_steady, now);
     lock(&node.balancer).heard_homes(homes, now);
     let mut asker = None;
     if wants_homes {
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -129,17 +129,17 @@
     pub(crate) balancer: Mutex<Balancer>,
     pub(crate) quotas: Mutex<Quotas>,
     /// Questions to other VMs about teams' limits.
-    tokens: TokenQuestions,
+    token_requests: TokenQuestions,
     pub(crate) members: Mutex<Members>,
-    pub(crate) evidence: Mutex<StoreEvidence>,
+    pub(crate) store_health: Mutex<StoreEvidence>,
     pub(crate) suspension: Mutex<SuspensionDetector>,
     copies: Copies,
     pub(crate) pool: Pool,
-    pub(crate) bodies: BodyBudget,
+    pub(crate) body_budget: BodyBudget,
     /// Callers' connections.
-    pub(crate) callers: Tasks,
+    pub(crate) caller_connections: Tasks,
     /// Requests that are being carried.
-    pub(crate) requests: Tasks,
+    pub(crate) running_requests: Tasks,
     leaving: watch::Sender<bool>,
     /// The configuration was confirmed, or the endpoints were read.
     read: watch::Sender<()>,
@@ -170,15 +170,15 @@
             has_endpoints: AtomicBool::new(false),
             balancer: Mutex::new(Balancer::new(balancer_config(&settings))),
             quotas: Mutex::new(quotas(&settings)),
-            tokens: TokenQuestions::new(peers),
+            token_requests: TokenQuestions::new(peers),
             members: Mutex::new(Members::new(member(&settings, incarnation))),
-            evidence: Mutex::default(),
+            store_health: Mutex::default(),
             suspension: Mutex::new(SuspensionDetector::new()),
             copies: Copies::new(),
             pool: Pool::with_limits(settings.address, limits),
-            bodies: BodyBudget::new(settings.memory_bytes),
-            callers: Tasks::default(),
-            requests: Tasks::default(),
+            body_budget: BodyBudget::new(settings.memory_bytes),
+            caller_connections: Tasks::default(),
+            running_requests: Tasks::default(),
             leaving: watch::Sender::new(false),
             read: watch::Sender::new(()),
             store_back: watch::Sender::new(()),
@@ -197,9 +197,9 @@
     }
 
     /// The copy of the configuration is recent enough to honour keys.
-    pub(crate) fn is_current(&self, now: Instant) -> bool {
+    pub(crate) fn has_current_configuration(&self, now: Instant) -> bool {
         self.note_suspension();
-        lock(&self.evidence).is_within(self.key_limit(), now)
+        lock(&self.store_health).is_within(self.key_limit(), now)
     }
 
     /// Age of the copy beyond which keys are not honoured.
@@ -213,11 +213,11 @@
         !self.is_leaving()
             && self.deployment.load().is_some()
             && self.has_endpoints.load(Ordering::Acquire)
-            && self.is_current(now)
+            && self.has_current_configuration(now)
     }
 
     /// Waits for the first state of the store, for a while after the start.
-    async fn first_read(&self) {
+    async fn wait_for_first_read(&self) {
         let until = self.started + FIRST_READ_WAIT;
         let mut read = self.read.subscribe();
         loop {
@@ -244,7 +244,7 @@
             return;
         };
         log::warn!("event=vm_suspended ms={}", time.as_millis());
-        lock(&self.evidence).forget();
+        lock(&self.store_health).forget();
     }
 }
 
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -139,14 +139,14 @@
     let now = Instant::now();
     let store_age = now.saturating_duration_since(store_confirmed_at(node)?);
     let age = now.saturating_duration_since(reply.confirmed_at?);
-    let outage = lock(&node.evidence).last_outage();
+    let outage = lock(&node.store_health).last_outage();
     let ms = |at: Instant| millis(now.saturating_duration_since(at));
     Some(StoreUpdate {
         unavailable: store_age >= MOST_AGE,
-        whole: reply.whole,
+        snapshot: reply.whole,
         revision: reply.revision,
         events: reply.events.into_iter().map(StoreEvent::from).collect(),
-        held_ms: millis(now.saturating_duration_since(began)),
+        hold_ms: millis(now.saturating_duration_since(began)),
         age_ms: millis(age),
         outage_began_ms: outage.map(|outage| ms(outage.began_at)),
         outage_ended_ms: outage.map(|outage| ms(outage.ended_at)),
@@ -191,13 +191,13 @@
         .and_then(ago)
         .zip(wire.outage_ended_ms.and_then(ago));
     if let Some((began_at, ended_at)) = outage {
-        lock(&node.evidence).adopt(Outage { began_at, ended_at });
+        lock(&node.store_health).adopt(Outage { began_at, ended_at });
     }
     // The relay spoke not before it had held the question.
-    let spoke_at = sent_at + Duration::from_millis(wire.held_ms);
+    let spoke_at = sent_at + Duration::from_millis(wire.hold_ms);
     let events: Result<Vec<Event>, _> = wire.events.into_iter().map(Event::try_from).collect();
     Ok(Update {
-        whole: wire.whole,
+        whole: wire.snapshot,
         events: events?,
         revision: wire.revision,
         confirmed_at: spoke_at.checked_sub(Duration::from_millis(wire.age_ms)),
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -142,11 +142,11 @@
 
 /// Serves one request.
 pub(super) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
-    let _running = node.requests.begin();
+    let _running = node.running_requests.begin();
     let arrived = Instant::now();
     let (parts, body) = req.into_parts();
     let head = RequestHead::from(&parts.headers);
-    node.first_read().await;
+    node.wait_for_first_read().await;
     let call = match decide(node, parts, head.clone(), arrived) {
         Ok(call) => call,
         Err(refused) => return refuse(&head, &refused, arrived, "route=none"),
@@ -235,7 +235,7 @@
     if route.public || deployment.teams.is_empty() {
         return Ok(team.cloned());
     }
-    if !node.is_current(now) {
+    if !node.has_current_configuration(now) {
         return Err(Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER));
     }
     match (team, &head.key) {
@@ -247,7 +247,7 @@
 
 /// A VM whose configuration may be old cannot tell that something is unknown.
 fn unless_stale(node: &Node, cause: Cause, now: Instant) -> Refused {
-    if node.is_current(now) {
+    if node.has_current_configuration(now) {
         Refused::not_run(cause)
     } else {
         Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER)
@@ -307,7 +307,7 @@
         .load()
         .as_ref()
         .map_or(u64::MAX, |deployment| deployment.limits.body_bytes);
-    let read = node.bodies.read(body, most);
+    let read = node.body_budget.read(body, most);
     match tokio::time::timeout_at(call.deadline.into(), read).await {
         Ok(Ok(upload)) => Ok(upload),
         Ok(Err(BodyFault::TooLarge)) => Err(Refused::not_run(Cause::BodyTooLarge)),
@@ -356,7 +356,7 @@
         (Some(deployment), Some(key)) => deployment.keys.contains_key(key),
         _ => false,
     };
-    known && node.is_current(now)
+    known && node.has_current_configuration(now)
 }
 
 fn second_at(call: &Call, target: &Target) -> Instant {
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -41,16 +41,19 @@
     let _ = close.send(true);
     let time = node.settings.load().bounds.stop_time;
     let rest = time.saturating_sub(ACCEPT_TIME + STOP_MARGIN);
-    if tokio::time::timeout(rest, node.callers.wait())
+    if tokio::time::timeout(rest, node.caller_connections.wait())
         .await
         .is_err()
     {
-        log::warn!("event=stop_incomplete requests={}", node.requests.count());
+        log::warn!(
+            "event=stop_incomplete requests={}",
+            node.running_requests.count()
+        );
     }
 }
 
 async fn leave(node: &Arc<Node>, peers: &UdpSocket) {
-    let requests = node.requests.count();
+    let requests = node.running_requests.count();
     log::info!(
         "event=leaving vm={} requests={requests}",
         node.settings.load().vm
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -222,7 +222,7 @@
     /// Only the configuration is asked for while the store does not answer, so
     /// that an outage does not multiply the calls.
     fn waits_for_store(&self, node: &Node) -> bool {
-        self.kind != Kind::Configuration && lock(&node.evidence).is_failing()
+        self.kind != Kind::Configuration && lock(&node.store_health).is_failing()
     }
 
     async fn wait_for_store(&mut self) -> Next {
@@ -364,7 +364,7 @@
 fn answered(node: &Node, kind: Kind) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "ok").increment(1);
-    let outage = lock(&node.evidence).answered(Instant::now());
+    let outage = lock(&node.store_health).answered(Instant::now());
     if let Some(outage) = outage {
         node.store_back.send_replace(());
         log::info!(
@@ -386,7 +386,7 @@
     let since = now
         .checked_sub(CALL_TIMEOUT)
         .map_or(began, |at| at.max(began));
-    if lock(&node.evidence).failed(since) {
+    if lock(&node.store_health).failed(since) {
         log::warn!(
             "event=store_lost kind={kind} error={}",
             logfmt::value(error)
@@ -440,7 +440,7 @@
     }
 
     fn confirm(&mut self, node: &Node, at: Instant) {
-        lock(&node.evidence).confirm(at);
+        lock(&node.store_health).confirm(at);
         node.read.send_replace(());
     }
 }
@@ -541,22 +541,22 @@
 }
 
 fn back_at(node: &Node) -> Option<Instant> {
-    let outage = lock(&node.evidence).last_outage();
+    let outage = lock(&node.store_health).last_outage();
     outage.map(|outage| outage.ended_at)
 }
 
 /// Another VM has reached the store without an outage for `steady`. Endpoints
 /// whose registration is gone have then not lapsed, but left.
-pub(super) fn heard_steady(node: &Node, steady: Duration, now: Instant) {
-    let mut evidence = lock(&node.evidence);
-    let Some(outage) = evidence.last_outage() else {
+pub(super) fn record_peer_store_uptime(node: &Node, steady: Duration, now: Instant) {
+    let mut store_health = lock(&node.store_health);
+    let Some(outage) = store_health.last_outage() else {
         return;
     };
     if steady < now.saturating_duration_since(outage.began_at) {
         return;
     }
-    evidence.outage_was_own();
-    drop(evidence);
+    store_health.outage_was_own();
+    drop(store_health);
     log::info!("event=outage_was_own");
     if lock(&node.registry).drop_lapsed() {
         endpoints_changed(node, now);
--- a/crates/filbertgrade/src/process/node/tokens.rs
+++ b/crates/filbertgrade/src/process/node/tokens.rs
@@ -104,7 +104,7 @@
             Admission::Ask(request) => request,
         };
         let grant = match address(node, &request.holder) {
-            Some(address) => node.tokens.ask(address, &request).await,
+            Some(address) => node.token_requests.ask(address, &request).await,
             None => None,
         };
         let now = Instant::now();
--- a/crates/filbertgrade/src/wire/store.rs
+++ b/crates/filbertgrade/src/wire/store.rs
@@ -24,7 +24,7 @@
     pub unavailable: bool,
     /// The events are all objects of the kind.
     #[prost(bool, tag = "2")]
-    pub whole: bool,
+    pub snapshot: bool,
     /// Revision of the store that the relay holds.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
@@ -33,7 +33,7 @@
     pub events: Vec<StoreEvent>,
     /// How long the relay held the question.
     #[prost(uint64, tag = "5")]
-    pub held_ms: u64,
+    pub hold_ms: u64,
     /// Age of its newest confirmation.
     #[prost(uint64, tag = "6")]
     pub age_ms: u64,
