--- a/crates/filbertgrade-coord/src/steering/homes.rs
+++ b/crates/filbertgrade-coord/src/steering/affinity.rs
@@ -25,32 +25,32 @@
 
 /// The endpoints of objects, by hashes of both.
 #[derive(Debug, Default)]
-pub struct Homes {
+pub struct AffinityTable {
     homes: IndexMap<u64, Entry>,
     /// Objects that count for each endpoint, as of the last count.
     counts: HashMap<u64, u32>,
     counted_at: Option<Instant>,
-    /// Homes that other VMs are to be told of.
+    /// AffinityTable that other VMs are to be told of.
     news: IndexMap<u64, u8>,
 }
 
 /// Where an object is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Affinity {
     /// Hash of the object.
     pub object: u64,
     /// Hash of the endpoint.
     pub endpoint: u64,
     /// Grows with each change of the object's home. Of two homes with the same
     /// number, the one with the higher endpoint hash counts.
-    pub change: u64,
+    pub version: u64,
     /// The object was asked for more than once.
     pub confirmed: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    home: Home,
+    home: Affinity,
     met_at: Instant,
 }
 
@@ -68,36 +68,36 @@
 /// How often objects are counted anew.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-impl Homes {
+impl AffinityTable {
     /// The endpoint of an object.
     pub fn get(&self, object: u64) -> Option<u64> {
         self.homes.get(&object).map(|entry| entry.home.endpoint)
     }
 
     /// Objects that an endpoint handles.
-    pub fn count(&self, endpoint: u64) -> u32 {
+    pub fn object_count(&self, endpoint: u64) -> u32 {
         self.counts.get(&endpoint).copied().unwrap_or(0)
     }
 
     /// Notes that a request for an object goes to an endpoint. A new home is
     /// told to other VMs.
-    pub fn met(&mut self, object: u64, endpoint: u64, now: Instant) {
+    pub fn record_use(&mut self, object: u64, endpoint: u64, now: Instant) {
         self.recount(now);
         let before = self.homes.get(&object).map(|entry| entry.home);
         let home = match before {
-            Some(home) if home.endpoint == endpoint => Home {
+            Some(home) if home.endpoint == endpoint => Affinity {
                 confirmed: true,
                 ..home
             },
-            Some(home) => Home {
+            Some(home) => Affinity {
                 endpoint,
-                change: home.change + 1,
+                version: home.version + 1,
                 ..home
             },
-            None => Home {
+            None => Affinity {
                 object,
                 endpoint,
-                change: 1,
+                version: 1,
                 confirmed: false,
             },
         };
@@ -108,10 +108,10 @@
     }
 
     /// Takes a home that another VM told.
-    pub fn heard(&mut self, home: Home, now: Instant) {
+    pub fn apply_update(&mut self, home: Affinity, now: Instant) {
         let newer = self.homes.get(&home.object).is_none_or(|entry| {
             let known = entry.home;
-            let order = |home: Home| (home.change, home.endpoint, home.confirmed);
+            let order = |home: Affinity| (home.version, home.endpoint, home.confirmed);
             order(home) > order(known)
         });
         if newer {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Homes that other VMs are to be told of now, at most `most`.
-    pub fn take_news(&mut self, most: usize) -> Vec<Home> {
+    /// AffinityTable that other VMs are to be told of now, at most `most`.
+    pub fn take_pending_updates(&mut self, most: usize) -> Vec<Affinity> {
         let count = self.news.len().min(most);
         let batch: Vec<(u64, u8)> = self.news.drain(..count).collect();
         let homes = batch
@@ -135,12 +135,12 @@
     }
 
     /// There is something to tell.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_updates(&self) -> bool {
         !self.news.is_empty()
     }
 
     /// All homes that count, for a VM that knows none.
-    pub fn all(&self, now: Instant) -> Vec<Home> {
+    pub fn snapshot(&self, now: Instant) -> Vec<Affinity> {
         self.homes
             .values()
             .filter(|entry| entry.home.confirmed && entry.counts(now))
@@ -148,7 +148,7 @@
             .collect()
     }
 
-    fn put(&mut self, home: Home, now: Instant) {
+    fn put(&mut self, home: Affinity, now: Instant) {
         let entry = Entry { home, met_at: now };
         let old = self.homes.insert(home.object, entry);
         let moved = old.is_none_or(|old| old.home.endpoint != home.endpoint);
--- a/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::ask::{LoadReport, Outcome, Target};
+use super::request::{LoadReport, Outcome, Target};
 use crate::names::RegionName;
-use crate::steering::cold::ColdLimit;
+use crate::steering::cold_start::ColdStartLimit;
 use crate::steering::endpoint::Endpoint;
 use crate::steering::placement::endpoint_hash;
 
@@ -60,7 +60,7 @@
     pub(super) mismatched: bool,
     pub(super) cold_until: Option<Instant>,
     /// `None` when this VM may not send to it while it is cold.
-    pub(super) cold: Option<ColdLimit>,
+    pub(super) cold: Option<ColdStartLimit>,
 }
 
 /// An endpoint that cannot be reached gets one request at a time, after a rest.
@@ -163,13 +163,13 @@
             Outcome::Refused => self.note_refusal(now),
             Outcome::Mismatched => self.mismatched = true,
             Outcome::Unreachable => return Some(self.begin_rest(now)),
-            Outcome::Lost => {
+            Outcome::ConnectionLost => {
                 self.note_failure(true, now);
                 return self.rest.is_some().then(|| self.begin_rest(now));
             }
-            Outcome::Silent => {
+            Outcome::TimedOut => {
                 self.note_failure(true, now);
-                self.note_latency(target, target.expected.saturating_mul(4), now);
+                self.note_latency(target, target.expected_latency.saturating_mul(4), now);
                 return self.rest.is_some().then(|| self.begin_rest(now));
             }
             Outcome::Cancelled => {
@@ -202,7 +202,7 @@
 
     pub(super) fn note_latency(&mut self, target: &Target, latency: Duration, now: Instant) {
         self.fade(now);
-        let expected = target.expected.as_secs_f64().max(0.001);
+        let expected = target.expected_latency.as_secs_f64().max(0.001);
         let ratio = latency.as_secs_f64() / expected;
         let slowness = self.slowness * ratio.clamp(0.2, 20.0).powf(SLOWNESS_WEIGHT);
         self.slowness = slowness.clamp(*SLOWNESS.start(), *SLOWNESS.end());
--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -5,24 +5,24 @@
 //! did not, goes elsewhere when it is not, and is refused at once when no
 //! endpoint would answer in time.
 
-mod ask;
 mod endpoint_state;
 mod ranking;
+mod request;
 mod service_state;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub use self::ask::{Ask, LoadReport, NoPick, Outcome, Pick, Target};
 use self::endpoint_state::EndpointState;
+pub use self::request::{LoadReport, Outcome, Pick, PickRefusal, PickRequest, Target};
 use self::service_state::{Choice, ServiceState, TIME_USED, spill_config};
 use crate::names::{FailureDomainName, RegionName, ServiceName, VmName};
-use crate::steering::cold::{ColdLimit, cold_senders};
+use crate::steering::affinity::{Affinity, AffinityTable};
+use crate::steering::cold_start::{ColdStartLimit, cold_start_senders};
 use crate::steering::deployment::Deployment;
 use crate::steering::endpoint::{Endpoint, EndpointKey};
-use crate::steering::homes::{Home, Homes};
-use crate::steering::placement::{RegionSplit, endpoint_hash, score, unit};
+use crate::steering::placement::{RegionSplit, endpoint_hash, score, unit_interval};
 use crate::steering::retry::RetryConfig;
 
 /// What each further place in the ranking counts, so that equal endpoints are
@@ -73,7 +73,7 @@
     /// When an object was last handled by an endpoint, by their hashes.
     objects: HashMap<(u64, u64), Instant>,
     /// Which endpoint handles each object.
-    homes: Homes,
+    homes: AffinityTable,
     /// Round trips to other regions in seconds.
     round_trips: HashMap<RegionName, f64>,
 }
@@ -89,7 +89,7 @@
             evacuated: HashSet::new(),
             vms,
             objects: HashMap::new(),
-            homes: Homes::default(),
+            homes: AffinityTable::default(),
             round_trips: HashMap::new(),
         }
     }
@@ -173,7 +173,7 @@
     }
 
     /// Notes how long it took to connect to an endpoint of another region.
-    pub fn connected(&mut self, region: &RegionName, time: Duration) {
+    pub fn record_connect_time(&mut self, region: &RegionName, time: Duration) {
         if *region == self.cfg.region {
             return;
         }
@@ -197,7 +197,7 @@
     }
 
     /// Takes a repeat from the budget of a service.
-    pub fn try_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
+    pub fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.vms.len();
         self.services
             .get_mut(service)
@@ -206,27 +206,27 @@
 
     /// Picks an endpoint and counts the request there, or refuses. Each pick
     /// must be ended by [`Balancer::finish`].
-    pub fn pick(&mut self, ask: &Ask<'_>, now: Instant) -> Pick {
-        let Some(service) = self.services.get(ask.service) else {
-            return Pick::Refuse(NoPick::NoEndpoint);
+    pub fn pick(&mut self, request: &PickRequest<'_>, now: Instant) -> Pick {
+        let Some(service) = self.services.get(request.service) else {
+            return Pick::Refuse(PickRefusal::NoEndpoint);
         };
-        let order = self.order(service, ask, now);
+        let order = self.order(service, request, now);
         if order.is_empty() {
-            return Pick::Refuse(NoPick::NoEndpoint);
+            return Pick::Refuse(PickRefusal::NoEndpoint);
         }
-        let first = self.best(service, ask, &order[..1], 0, now);
+        let first = self.best(service, request, &order[..1], 0, now);
         let choice = first
-            .filter(|choice| service.permits(ask, choice, now))
-            .or_else(|| self.elsewhere(service, ask, &order, now));
+            .filter(|choice| service.permits(request, choice, now))
+            .or_else(|| self.elsewhere(service, request, &order, now));
         // A home that cannot be reached is no matter of free slots.
         let home = &service.endpoints[order[0]];
         let leaves = home.is_open(now)
             && choice.is_some_and(|choice| service.endpoints[choice.index].region != home.region);
         let spill = spill_config(&self.cfg);
-        let time_left = ask.time_left.as_secs_f64() * TIME_USED;
+        let time_left = request.time_left.as_secs_f64() * TIME_USED;
         let mut moves = !leaves;
         let choice = choice.and_then(|choice| {
-            let service = self.services.get_mut(ask.service)?;
+            let service = self.services.get_mut(request.service)?;
             if !leaves {
                 return Some(choice);
             }
@@ -238,10 +238,10 @@
             Some(choice)
         });
         match choice {
-            Some(choice) => Pick::Send(self.begin(ask, choice, moves, now)),
+            Some(choice) => Pick::Send(self.begin(request, choice, moves, now)),
             None => {
                 let wait = first.map_or(0.0, |choice| choice.wait);
-                Pick::Refuse(NoPick::Busy(come_back(wait, ask.object)))
+                Pick::Refuse(PickRefusal::Busy(come_back(wait, request.object)))
             }
         }
     }
@@ -274,63 +274,72 @@
     }
 
     /// Takes homes of objects that another VM told.
-    pub fn heard_homes(&mut self, homes: Vec<Home>, now: Instant) {
+    pub fn apply_affinities(&mut self, homes: Vec<Affinity>, now: Instant) {
         for home in homes {
-            self.homes.heard(home, now);
+            self.homes.apply_update(home, now);
         }
     }
 
-    /// Homes of objects that are to be told to other VMs.
-    pub fn homes(&mut self) -> &mut Homes {
+    /// AffinityTable of objects that are to be told to other VMs.
+    pub fn affinities(&mut self) -> &mut AffinityTable {
         &mut self.homes
     }
 
     /// Endpoints by service with what is believed of them, for a dump.
-    pub fn beliefs(&self, now: Instant) -> impl Iterator<Item = Belief<'_>> {
+    pub fn endpoint_estimates(&self, now: Instant) -> impl Iterator<Item = EndpointEstimate<'_>> {
         self.services.values().flat_map(move |service| {
-            service.endpoints.values().map(move |state| Belief {
-                endpoint: &state.endpoint,
-                in_flight: state.in_flight,
-                load: state.load(now),
-                failures: state.faded(state.failures, 0.0, now),
-                slowness: state.faded(state.slowness, 1.0, now),
-                resting: state.rest.is_some_and(|rest| now < rest.until),
-                cold: state.is_cold(now),
-            })
+            service
+                .endpoints
+                .values()
+                .map(move |state| EndpointEstimate {
+                    endpoint: &state.endpoint,
+                    in_flight: state.in_flight,
+                    load: state.load(now),
+                    failures: state.faded(state.failures, 0.0, now),
+                    slowness: state.faded(state.slowness, 1.0, now),
+                    ejected: state.rest.is_some_and(|rest| now < rest.until),
+                    cold: state.is_cold(now),
+                })
         })
     }
 
     /// Counts a request at its endpoint. One that `moves` its object makes the
     /// endpoint its home.
-    fn begin(&mut self, ask: &Ask<'_>, choice: Choice, moves: bool, now: Instant) -> Target {
+    fn begin(
+        &mut self,
+        request: &PickRequest<'_>,
+        choice: Choice,
+        moves: bool,
+        now: Instant,
+    ) -> Target {
         let round_trip = |region: &RegionName| self.round_trip(region);
-        let service = &self.services[ask.service];
+        let service = &self.services[request.service];
         let state = &service.endpoints[choice.index];
         let hash = state.hash;
         let target = Target {
-            service: ask.service.clone(),
+            service: request.service.clone(),
             key: state.endpoint.key.clone(),
             address: state.endpoint.address,
             region: state.region.clone(),
-            expected: Duration::from_secs_f64(
+            expected_latency: Duration::from_secs_f64(
                 (choice.cost - choice.rank as f64 * RANK_COST).clamp(0.0, 60.0),
             )
             .max(Duration::from_secs_f64(round_trip(&state.region))),
             load: state.load(now),
             slots: state.endpoint.slots,
-            repeat: choice.repeat,
+            object_cached: choice.repeat,
             rank: choice.rank,
             report_age: state
                 .reported_at
                 .map(|at| now.saturating_duration_since(at)),
         };
-        if ask.sticky && ask.tried.is_empty() && moves {
-            let key = self.home_key(&self.services[ask.service], ask);
-            self.homes.met(key, hash, now);
+        if request.sticky && request.tried.is_empty() && moves {
+            let key = self.home_key(&self.services[request.service], request);
+            self.homes.record_use(key, hash, now);
         }
         if let Some(state) = self
             .services
-            .get_mut(ask.service)
+            .get_mut(request.service)
             .and_then(|service| service.endpoints.get_mut(&target.key))
         {
             state.begin(now);
@@ -380,9 +389,9 @@
                     state.cold = None;
                     continue;
                 }
-                match cold_senders(&key.id, &self.cfg.vm, &self.vms) {
+                match cold_start_senders(&key.id, &self.cfg.vm, &self.vms) {
                     Some(senders) if state.cold.is_none() => {
-                        state.cold = Some(ColdLimit::new(rate, senders, now));
+                        state.cold = Some(ColdStartLimit::new(rate, senders, now));
                     }
                     Some(_) => {}
                     None => state.cold = None,
@@ -394,7 +403,7 @@
 
 /// What is believed of one endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Belief<'a> {
+pub struct EndpointEstimate<'a> {
     /// The endpoint.
     pub endpoint: &'a Endpoint,
     /// Requests of this VM that it has.
@@ -406,7 +415,7 @@
     /// Time that it takes in multiples of other endpoints'.
     pub slowness: f64,
     /// It could not be reached, and gets nothing for now.
-    pub resting: bool,
+    pub ejected: bool,
     /// It has just started.
     pub cold: bool,
 }
@@ -425,6 +434,6 @@
 fn come_back(wait: f64, spread: u64) -> Duration {
     let (shortest, longest) = RETRY_AFTER;
     let wait = Duration::from_secs_f64((wait / 2.0).clamp(0.0, longest.as_secs_f64()));
-    let spread = shortest.mul_f64(unit(score(spread, 1)));
+    let spread = shortest.mul_f64(unit_interval(score(spread, 1)));
     (wait + shortest / 2 + spread).min(longest)
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use super::ask::Ask;
 use super::endpoint_state::EndpointState;
+use super::request::PickRequest;
 use super::service_state::{Choice, ServiceState};
 use super::{Balancer, RANK_COST};
 use crate::names::RegionName;
@@ -38,15 +38,20 @@
 
 impl Balancer {
     /// Indexes of the endpoints that may take the request, best first.
-    pub(super) fn order(&self, service: &ServiceState, ask: &Ask<'_>, now: Instant) -> Vec<usize> {
-        let region = self.region_of(service, ask);
+    pub(super) fn order(
+        &self,
+        service: &ServiceState,
+        request: &PickRequest<'_>,
+        now: Instant,
+    ) -> Vec<usize> {
+        let region = self.region_of(service, request);
         let mut near = Vec::with_capacity(service.endpoints.len());
         let mut far = Vec::new();
         for (index, state) in service.endpoints.values().enumerate() {
-            if !self.may_take(state, ask) {
+            if !self.may_take(state, request) {
                 continue;
             }
-            let entry = (std::cmp::Reverse(score(ask.object, state.hash)), index);
+            let entry = (std::cmp::Reverse(score(request.object, state.hash)), index);
             if state.region == *region {
                 near.push(entry);
             } else {
@@ -57,8 +62,8 @@
         far.sort_unstable();
         near.append(&mut far);
         let mut order: Vec<usize> = near.into_iter().map(|(_, index)| index).collect();
-        if ask.sticky
-            && let Some(place) = self.home(service, ask, &order, now)
+        if request.sticky
+            && let Some(place) = self.home(service, request, &order, now)
         {
             order[..=place].rotate_right(1);
         }
@@ -66,13 +71,17 @@
     }
 
     /// The region that new objects go to.
-    fn region_of<'a>(&'a self, service: &'a ServiceState, ask: &Ask<'_>) -> &'a RegionName {
-        let kept = if ask.body_bytes >= LARGE_BODY {
+    fn region_of<'a>(
+        &'a self,
+        service: &'a ServiceState,
+        request: &PickRequest<'_>,
+    ) -> &'a RegionName {
+        let kept = if request.body_bytes >= LARGE_BODY {
             LARGE_BODIES_KEPT
         } else {
             1.0
         };
-        let region = service.split.region(&self.cfg.region, ask.object, kept);
+        let region = service.split.region(&self.cfg.region, request.object, kept);
         region.unwrap_or(&self.cfg.region)
     }
 
@@ -81,25 +90,25 @@
     pub(super) fn elsewhere(
         &self,
         service: &ServiceState,
-        ask: &Ask<'_>,
+        request: &PickRequest<'_>,
         order: &[usize],
         now: Instant,
     ) -> Option<Choice> {
         let (home, rest) = order.split_first()?;
         let home = &service.endpoints[*home];
         if !home.is_open(now) {
-            let choice = self.best(service, ask, rest, 1, now);
-            return choice.filter(|choice| service.permits(ask, choice, now));
+            let choice = self.best(service, request, rest, 1, now);
+            return choice.filter(|choice| service.permits(request, choice, now));
         }
         // Elsewhere the object pushes others out, so it goes there only where
         // it does not wait as well.
-        let fits = |choice: &Choice| choice.wait <= 0.0 && service.permits(ask, choice, now);
+        let fits = |choice: &Choice| choice.wait <= 0.0 && service.permits(request, choice, now);
         let (same, other): (Vec<usize>, Vec<usize>) = rest
             .iter()
             .partition(|index| service.endpoints[**index].region == home.region);
-        self.best(service, ask, &same, 1, now)
+        self.best(service, request, &same, 1, now)
             .filter(fits)
-            .or_else(|| self.best(service, ask, &other, 1, now).filter(fits))
+            .or_else(|| self.best(service, request, &other, 1, now).filter(fits))
     }
 
     /// The place in the ranking of the endpoint that handles the object, or
@@ -107,12 +116,12 @@
     fn home(
         &self,
         service: &ServiceState,
-        ask: &Ask<'_>,
+        request: &PickRequest<'_>,
         order: &[usize],
         now: Instant,
     ) -> Option<usize> {
         let state = |place: usize| &service.endpoints[order[place]];
-        if let Some(home) = self.homes.get(self.home_key(service, ask))
+        if let Some(home) = self.homes.get(self.home_key(service, request))
             && let Some(place) = (0..order.len()).find(|place| state(*place).hash == home)
         {
             return Some(place);
@@ -122,7 +131,7 @@
             .map(|index| &service.endpoints[*index].region)?;
         let burden = |place: usize| {
             let state = state(place);
-            let objects = f64::from(self.homes.count(state.hash)) + state.load(now);
+            let objects = f64::from(self.homes.object_count(state.hash)) + state.load(now);
             let margin = if place == 0 { 0.0 } else { HOME_MARGIN };
             (objects + margin) / f64::from(state.endpoint.slots)
         };
@@ -135,34 +144,37 @@
     ///
     /// Callers who are bound to regions have a home of their own where that of
     /// the others is not allowed to them, so that they do not move it there.
-    pub(super) fn home_key(&self, service: &ServiceState, ask: &Ask<'_>) -> u64 {
+    pub(super) fn home_key(&self, service: &ServiceState, request: &PickRequest<'_>) -> u64 {
         let mut endpoints = service.endpoints.values();
         let region = self
             .homes
-            .get(ask.object)
+            .get(request.object)
             .and_then(|home| endpoints.find(|state| state.hash == home))
-            .map_or_else(|| self.region_of(service, ask), |state| &state.region);
-        if ask.allows(region) {
-            return ask.object;
+            .map_or_else(|| self.region_of(service, request), |state| &state.region);
+        if request.allows(region) {
+            return request.object;
         }
-        let bound = ask.homes.iter().flat_map(|homes| homes.iter());
-        bound.fold(ask.object, |key, region| {
+        let bound = request
+            .allowed_regions
+            .iter()
+            .flat_map(|homes| homes.iter());
+        bound.fold(request.object, |key, region| {
             score(key, endpoint_hash(region.as_str()))
         })
     }
 
-    fn may_take(&self, state: &EndpointState, ask: &Ask<'_>) -> bool {
+    fn may_take(&self, state: &EndpointState, request: &PickRequest<'_>) -> bool {
         !state.endpoint.draining
             && !state.mismatched
             && !self.evacuated.contains(&state.endpoint.failure_domain)
-            && ask.allows(&state.region)
-            && !ask.tried.contains(&state.endpoint.key)
+            && request.allows(&state.region)
+            && !request.tried.contains(&state.endpoint.key)
     }
 
     pub(super) fn best(
         &self,
         service: &ServiceState,
-        ask: &Ask<'_>,
+        request: &PickRequest<'_>,
         order: &[usize],
         first_rank: usize,
         now: Instant,
@@ -170,14 +182,16 @@
         order
             .iter()
             .enumerate()
-            .filter_map(|(rank, index)| self.choice(service, ask, *index, first_rank + rank, now))
+            .filter_map(|(rank, index)| {
+                self.choice(service, request, *index, first_rank + rank, now)
+            })
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
     fn choice(
         &self,
         service: &ServiceState,
-        ask: &Ask<'_>,
+        request: &PickRequest<'_>,
         index: usize,
         rank: usize,
         now: Instant,
@@ -190,22 +204,24 @@
         if load >= state.capacity {
             return None;
         }
-        let repeat = ask.sticky && self.remembers(ask.object, state.hash, now);
+        let repeat = request.sticky && self.remembers(request.object, state.hash, now);
         let slowness = state.faded(state.slowness, 1.0, now);
         let slots = f64::from(state.endpoint.slots);
-        let mean = service.repeat_time(ask).min(service.first_time(ask));
+        let mean = service
+            .repeat_time(request)
+            .min(service.first_time(request));
         let wait = (load + 1.0 - slots).max(0.0) / slots * mean * slowness;
-        let saved = service.first_time(ask) - service.repeat_time(ask);
-        let work = if repeat || !ask.sticky {
-            service.repeat_time(ask)
+        let saved = service.first_time(request) - service.repeat_time(request);
+        let work = if repeat || !request.sticky {
+            service.repeat_time(request)
         } else if rank == 0 {
-            service.first_time(ask)
+            service.first_time(request)
         } else {
-            service.first_time(ask) + saved * DISPLACEMENT
+            service.first_time(request) + saved * DISPLACEMENT
         };
         let cold = if state.is_cold(now) { 2.0 } else { 1.0 };
         let failures = state.faded(state.failures, 0.0, now);
-        let failure_cost = if ask.idempotent {
+        let failure_cost = if request.idempotent {
             FAILURE_COST_IDEMPOTENT
         } else {
             FAILURE_COST_NON_IDEMPOTENT
--- a/crates/filbertgrade-coord/src/steering/balancer/ask.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -8,7 +8,7 @@
 
 /// A request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct PickRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Hash of the object, or any number for requests without one.
@@ -18,7 +18,7 @@
     /// The request may run more than once.
     pub idempotent: bool,
     /// Regions in which it may run; empty allows all. All lists bind.
-    pub homes: [&'a [RegionName]; 2],
+    pub allowed_regions: [&'a [RegionName]; 2],
     /// Endpoints that it was sent to already.
     pub tried: &'a [EndpointKey],
     /// Rank; 0 is the most urgent.
@@ -31,10 +31,10 @@
     pub body_bytes: u64,
 }
 
-impl Ask<'_> {
+impl PickRequest<'_> {
     /// The request may run in the region.
     pub(super) fn allows(&self, region: &RegionName) -> bool {
-        let mut lists = self.homes.iter();
+        let mut lists = self.allowed_regions.iter();
         lists.all(|homes| homes.is_empty() || homes.contains(region))
     }
 }
@@ -45,7 +45,7 @@
     /// Send it.
     Send(Target),
     /// Refuse it.
-    Refuse(NoPick),
+    Refuse(PickRefusal),
 }
 
 /// An endpoint that was picked for a request.
@@ -60,13 +60,13 @@
     /// Its region.
     pub region: RegionName,
     /// When the answer is expected.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Requests that it holds, as far as known.
     pub load: f64,
     /// Requests that it runs at the same time.
     pub slots: u32,
     /// It is assumed to remember the object.
-    pub repeat: bool,
+    pub object_cached: bool,
     /// Place in the ranking of the endpoints for the object, from 0.
     pub rank: usize,
     /// Age of its last load report.
@@ -75,7 +75,7 @@
 
 /// Why no endpoint was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoPick {
+pub enum PickRefusal {
     /// No endpoint of the service may take the request.
     NoEndpoint,
     /// No endpoint would answer in time. A caller may come back after the time.
@@ -99,9 +99,9 @@
     /// No connection could be made.
     Unreachable,
     /// The connection failed after the request was sent.
-    Lost,
+    ConnectionLost,
     /// No answer came in time.
-    Silent,
+    TimedOut,
     /// The caller left, or another attempt was answered first.
     Cancelled,
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 use super::BalancerConfig;
-use super::ask::{Ask, Target};
 use super::endpoint_state::EndpointState;
+use super::request::{PickRequest, Target};
 use crate::names::{FailureDomainName, RegionName};
 use crate::spill::{SpillConfig, SpillLimit};
 use crate::steering::endpoint::EndpointKey;
@@ -92,13 +92,13 @@
         }
     }
 
-    pub(super) fn first_time(&self, ask: &Ask<'_>) -> f64 {
-        let guess = guess(ask, FIRST_GUESS);
-        self.first.unwrap_or(guess).max(self.repeat_time(ask))
+    pub(super) fn first_time(&self, request: &PickRequest<'_>) -> f64 {
+        let guess = guess(request, FIRST_GUESS);
+        self.first.unwrap_or(guess).max(self.repeat_time(request))
     }
 
-    pub(super) fn repeat_time(&self, ask: &Ask<'_>) -> f64 {
-        let guess = guess(ask, REPEAT_GUESS);
+    pub(super) fn repeat_time(&self, request: &PickRequest<'_>) -> f64 {
+        let guess = guess(request, REPEAT_GUESS);
         self.repeat.unwrap_or(guess)
     }
 
@@ -108,7 +108,7 @@
             // The time holds a wait for a slot.
             return;
         }
-        let (quantile, part) = if target.repeat {
+        let (quantile, part) = if target.object_cached {
             (&mut self.repeat, REPEAT_QUANTILE)
         } else {
             (&mut self.first, FIRST_QUANTILE)
@@ -134,14 +134,14 @@
 
     /// The choice may be taken: it answers in time, and a less urgent request
     /// does not fill the queue that more urgent ones need.
-    pub(super) fn permits(&self, ask: &Ask<'_>, choice: &Choice, now: Instant) -> bool {
-        if choice.cost > ask.time_left.as_secs_f64() * TIME_USED {
+    pub(super) fn permits(&self, request: &PickRequest<'_>, choice: &Choice, now: Instant) -> bool {
+        if choice.cost > request.time_left.as_secs_f64() * TIME_USED {
             return false;
         }
         let urgent = self.urgent.is_some_and(|(urgent, at)| {
-            urgent < ask.priority && now.saturating_duration_since(at) <= URGENT_MEMORY
+            urgent < request.priority && now.saturating_duration_since(at) <= URGENT_MEMORY
         });
-        !urgent || choice.wait <= ask.target_latency.as_secs_f64() * LESS_URGENT_WAIT
+        !urgent || choice.wait <= request.target_latency.as_secs_f64() * LESS_URGENT_WAIT
     }
 
     pub(super) fn slots_in(
@@ -170,7 +170,7 @@
 
 /// The time of a request before any was measured. A guess must not be what a
 /// request is refused for.
-pub(super) fn guess(ask: &Ask<'_>, part: f64) -> f64 {
-    let most = ask.time_left.as_secs_f64() * GUESS_USED;
-    (ask.target_latency.as_secs_f64() * part).min(most)
+pub(super) fn guess(request: &PickRequest<'_>, part: f64) -> f64 {
+    let most = request.time_left.as_secs_f64() * GUESS_USED;
+    (request.target_latency.as_secs_f64() * part).min(most)
 }
--- a/crates/filbertgrade-coord/src/steering/cold.rs
+++ b/crates/filbertgrade-coord/src/steering/cold_start.rs
@@ -19,11 +19,11 @@
 /// agree. Each of them spaces its requests evenly, so that a burst of all of
 /// them together is one request each.
 #[derive(Clone, Debug)]
-pub struct ColdLimit {
+pub struct ColdStartLimit {
     bucket: TokenBucket,
 }
 
-impl ColdLimit {
+impl ColdStartLimit {
     /// Starts with one token at an endpoint that takes `rate` requests a
     /// second from all VMs together.
     pub fn new(rate: f64, senders: usize, now: Instant) -> Self {
@@ -48,7 +48,7 @@
 
 /// The number of VMs that may send to the cold endpoint `id`, if `vm` is one
 /// of them.
-pub fn cold_senders(id: &str, vm: &VmName, vms: &[VmName]) -> Option<usize> {
+pub fn cold_start_senders(id: &str, vm: &VmName, vms: &[VmName]) -> Option<usize> {
     let senders = rendezvous::top(id, vms.iter(), COLD_SENDERS);
     senders.contains(&vm).then_some(senders.len())
 }
--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -166,7 +166,7 @@
     /// The part of the route for a request, by a number that is spread evenly.
     pub fn part(&self, spread: u64) -> &RoutePart {
         let total: f64 = self.parts.iter().map(|part| part.weight).sum();
-        let mut point = crate::steering::placement::unit(spread) * total;
+        let mut point = crate::steering::placement::unit_interval(spread) * total;
         for part in &self.parts {
             point -= part.weight;
             if point < 0.0 {
--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -9,27 +9,27 @@
 //! - [`placement`] ranks the endpoints of a service for an object. It answers
 //!   the steady load, in which an endpoint that handled an object recently is
 //!   several times as fast.
-//! - [`homes`] spreads objects evenly over the endpoints that rank highest.
+//! - [`affinity`] spreads objects evenly over the endpoints that rank highest.
 //! - [`balancer`] picks an endpoint from the ranking, or refuses. It answers
 //!   overload, slow and failing endpoints.
 //! - [`quota`] keeps a team within its rate over all VMs, and answers one team
 //!   that sends several times its rate.
 //! - [`retry`] bounds what repeats add to a service that is already failing.
-//! - [`cold`] bounds what an endpoint gets that has just started.
-//! - [`evidence`] tells how current the copy of the store is.
+//! - [`cold_start`] bounds what an endpoint gets that has just started.
+//! - [`store_health`] tells how current the copy of the store is.
 //! - [`settings`] is what the platform tells a VM at its start.
 //! - [`members`] tells which VMs callers should be sent to.
 
+pub mod affinity;
 pub mod balancer;
-pub mod cold;
+pub mod cold_start;
 pub mod deployment;
 pub mod endpoint;
-pub mod evidence;
-pub mod homes;
 pub mod members;
 pub mod placement;
 pub mod quota;
 pub mod registry;
 pub mod retry;
 pub mod settings;
+pub mod store_health;
 mod window;
--- a/crates/filbertgrade-coord/src/steering/placement.rs
+++ b/crates/filbertgrade-coord/src/steering/placement.rs
@@ -12,7 +12,7 @@
 use crate::names::RegionName;
 
 /// A number in `0..1` that is spread evenly if the bits of `hash` are.
-pub fn unit(hash: u64) -> f64 {
+pub fn unit_interval(hash: u64) -> f64 {
     // The upper 53 bits are what an f64 represents exactly.
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
@@ -82,7 +82,7 @@
         let row = self.rows.get(from)?;
         let (home, even) = row.first()?;
         // Another hash than the one that ranks endpoints.
-        let point = unit(xxh3_64(&object.to_le_bytes()));
+        let point = unit_interval(xxh3_64(&object.to_le_bytes()));
         let stay = (even * kept).min(1.0);
         if point < stay {
             return Some(home);
--- a/crates/filbertgrade-coord/src/steering/retry.rs
+++ b/crates/filbertgrade-coord/src/steering/retry.rs
@@ -63,7 +63,7 @@
 
 /// How long after the first attempt a second one may be sent beside it, to
 /// another endpoint. Answers lost answers and endpoints that turned slow.
-pub fn second_attempt_after(expected: Duration, target_latency: Duration) -> Duration {
+pub fn hedge_delay(expected: Duration, target_latency: Duration) -> Duration {
     (expected * 2)
         .max(expected + SECOND_AFTER_LEAST)
         .max(target_latency / 2)
--- a/crates/filbertgrade-coord/src/steering/evidence.rs
+++ b/crates/filbertgrade-coord/src/steering/store_health.rs
@@ -8,7 +8,7 @@
 /// Keys that were withdrawn after the confirmation are not known, so a request
 /// with a key is refused when the confirmation is too old.
 #[derive(Clone, Debug, Default)]
-pub struct StoreEvidence {
+pub struct StoreHealth {
     /// The store had no newer configuration at this instant; never moves
     /// backward.
     confirmed_at: Option<Instant>,
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
     /// When the first call failed.
-    pub began_at: Instant,
+    pub started_at: Instant,
     /// When a call was answered again.
     pub ended_at: Instant,
 }
@@ -33,27 +33,27 @@
 /// single lost answer is shorter.
 const OUTAGE_AFTER: Duration = Duration::from_millis(400);
 
-impl StoreEvidence {
+impl StoreHealth {
     /// The store answered that the copy was current at `at`.
     pub fn confirm(&mut self, at: Instant) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
     /// Forgets the confirmation, because nobody knows how old it is.
-    pub fn forget(&mut self) {
+    pub fn clear_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
     /// A call was answered. Returns the length of the outage that it ended.
-    pub fn answered(&mut self, now: Instant) -> Option<Duration> {
+    pub fn record_success(&mut self, now: Instant) -> Option<Duration> {
         self.answered_at = Some(now);
-        let began_at = self.failing_since.take()?;
-        let outage = now.saturating_duration_since(began_at);
+        let started_at = self.failing_since.take()?;
+        let outage = now.saturating_duration_since(started_at);
         if outage < OUTAGE_AFTER {
             return None;
         }
         self.back = Some(Outage {
-            began_at,
+            started_at,
             ended_at: now,
         });
         Some(outage)
@@ -64,7 +64,7 @@
     ///
     /// A call that began before another one was answered says nothing of the
     /// store: its connection was lost.
-    pub fn failed(&mut self, began: Instant) -> bool {
+    pub fn record_failure(&mut self, began: Instant) -> bool {
         if self.answered_at.is_some_and(|at| at >= began) {
             return false;
         }
@@ -79,14 +79,14 @@
     }
 
     /// Age of the newest confirmation.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at
             .map(|at| now.saturating_duration_since(at))
     }
 
     /// The copy was current at most `limit` ago.
-    pub fn is_within(&self, limit: Duration, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age <= limit)
+    pub fn is_confirmed_within(&self, limit: Duration, now: Instant) -> bool {
+        self.confirmation_age(now).is_some_and(|age| age <= limit)
     }
 
     /// The last outage that ended.
@@ -95,10 +95,10 @@
     }
 
     /// Takes an outage that the VM met through which this one reads the store.
-    pub fn adopt(&mut self, outage: Outage) {
+    pub fn adopt_outage(&mut self, outage: Outage) {
         let newer = self
             .back
-            .is_none_or(|known| outage.began_at > known.ended_at);
+            .is_none_or(|known| outage.started_at > known.ended_at);
         // Ages are rounded, so an outage that is known may seem a little newer.
         if newer {
             self.back = Some(outage);
@@ -107,13 +107,13 @@
 
     /// Other VMs reached the store during the last outage, so it was only this
     /// VM's.
-    pub fn outage_was_own(&mut self) {
+    pub fn discard_local_outage(&mut self) {
         self.back = None;
     }
 
     /// How long the store has answered without an outage, as other VMs are
     /// told. Zero while it does not answer.
-    pub fn steady_for(&self, started: Instant, now: Instant) -> Duration {
+    pub fn available_for(&self, started: Instant, now: Instant) -> Duration {
         if self.failing_since.is_some() || self.answered_at.is_none() {
             return Duration::ZERO;
         }
--- a/crates/filbertgrade-coord/tests/steering/balancer.rs
+++ b/crates/filbertgrade-coord/tests/steering/balancer.rs
@@ -3,20 +3,20 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
+use filbertgrade_coord::steering::affinity::Affinity;
 use filbertgrade_coord::steering::balancer::{
-    Ask, Balancer, LoadReport, NoPick, Outcome, Pick, Target,
+    Balancer, LoadReport, Outcome, Pick, PickRefusal, PickRequest, Target,
 };
 use filbertgrade_coord::steering::endpoint::EndpointKey;
-use filbertgrade_coord::steering::homes::Home;
 use filbertgrade_coord::steering::placement::endpoint_hash;
 use rstest::rstest;
 
-use crate::scene::{ask, balancer, domain, endpoint, region, service, vm, with_endpoints};
+use crate::scene::{balancer, domain, endpoint, pick_request, region, service, vm, with_endpoints};
 
 const NAMES: [&str; 3] = ["east", "north", "south"];
 
 fn send(balancer: &mut Balancer, object: u64, now: Instant) -> Target {
-    match balancer.pick(&ask(&service(), object), now) {
+    match balancer.pick(&pick_request(&service(), object), now) {
         Pick::Send(target) => target,
         Pick::Refuse(why) => panic!("refused: {why:?}"),
     }
@@ -80,12 +80,12 @@
     for object in 100..140 {
         send(&mut a, object, now);
     }
-    let told = a.homes().take_news(1_000);
-    b.heard_homes(told, now);
+    let told = a.affinities().take_pending_updates(1_000);
+    b.apply_affinities(told, now);
     for object in 100..140 {
-        let expected = a.homes().get(object);
+        let expected = a.affinities().get(object);
         send(&mut b, object, now);
-        assert_eq!(b.homes().get(object), expected);
+        assert_eq!(b.affinities().get(object), expected);
     }
 }
 
@@ -101,10 +101,10 @@
     let service = service();
     let south = [region("south")];
     for object in 0..40 {
-        let free = ask(&service, object);
-        let mut bound = ask(&service, object);
-        bound.homes = [&south, &[]];
-        let mut place = |req: &Ask<'_>| match balancer.pick(req, now) {
+        let free = pick_request(&service, object);
+        let mut bound = pick_request(&service, object);
+        bound.allowed_regions = [&south, &[]];
+        let mut place = |req: &PickRequest<'_>| match balancer.pick(req, now) {
             Pick::Send(target) => {
                 let outcome = Outcome::Answered {
                     latency: Duration::from_millis(200),
@@ -148,9 +148,9 @@
     let south = [region("south")];
     let tried = [list[0].key.clone()];
     let service = service();
-    let mut req = ask(&service, 1);
+    let mut req = pick_request(&service, 1);
     match why {
-        "home" => req.homes = [&south, &[]],
+        "home" => req.allowed_regions = [&south, &[]],
         "tried" => req.tried = &tried,
         "mismatched" => {
             let target = send(&mut balancer, 1, now);
@@ -172,8 +172,8 @@
 fn request_without_an_endpoint_is_refused_at_once() {
     let now = Instant::now();
     let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &[], now);
-    let pick = balancer.pick(&ask(&service(), 1), now);
-    assert_eq!(pick, Pick::Refuse(NoPick::NoEndpoint));
+    let pick = balancer.pick(&pick_request(&service(), 1), now);
+    assert_eq!(pick, Pick::Refuse(PickRefusal::NoEndpoint));
 }
 
 /// Guards against queues whose requests all miss their deadline: what cannot be
@@ -185,12 +185,12 @@
     let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
     let mut sent = 0;
     for object in 0..20 {
-        match balancer.pick(&ask(&service(), object), now) {
+        match balancer.pick(&pick_request(&service(), object), now) {
             Pick::Send(target) => {
-                assert!(target.expected < Duration::from_secs(3));
+                assert!(target.expected_latency < Duration::from_secs(3));
                 sent += 1;
             }
-            Pick::Refuse(NoPick::Busy(after)) => assert!(after > Duration::ZERO),
+            Pick::Refuse(PickRefusal::Busy(after)) => assert!(after > Duration::ZERO),
             Pick::Refuse(why) => panic!("{why:?}"),
         }
     }
@@ -226,7 +226,7 @@
 /// one while another one does not.
 #[rstest]
 #[case::refuses(Outcome::Refused)]
-#[case::loses(Outcome::Lost)]
+#[case::loses(Outcome::ConnectionLost)]
 #[case::fails(Outcome::Answered { latency: Duration::from_millis(50), failed: true })]
 fn failing_endpoint_loses_its_requests(#[case] outcome: Outcome) {
     let now = Instant::now();
@@ -239,7 +239,7 @@
     let service = service();
     for _ in 0..40 {
         time += Duration::from_millis(50);
-        let mut req = ask(&service, 3);
+        let mut req = pick_request(&service, 3);
         req.sticky = false;
         req.idempotent = false;
         let Pick::Send(target) = balancer.pick(&req, time) else {
@@ -269,7 +269,7 @@
         let mut balancer = with_endpoints(balancer, &[cold.clone()], start);
         for step in 0..300 {
             let now = start + Duration::from_millis(10 * step);
-            if let Pick::Send(target) = balancer.pick(&ask(&service(), step), now) {
+            if let Pick::Send(target) = balancer.pick(&pick_request(&service(), step), now) {
                 balancer.finish(&target, step, answered(100), None, now);
                 sent.push(now);
             }
@@ -292,18 +292,18 @@
     list.extend((0..8).map(|n| endpoint(&format!("far{n}"), "south", 30)));
     let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
     let service = service();
-    let homes = (0..40).map(|object| Home {
+    let homes = (0..40).map(|object| Affinity {
         object,
         endpoint: endpoint_hash("home"),
-        change: 1,
+        version: 1,
         confirmed: true,
     });
-    balancer.heard_homes(homes.collect(), now);
+    balancer.apply_affinities(homes.collect(), now);
     let mut left = 0;
     let mut refused = 0;
     for n in 0..100 {
         balancer.count_request(&service, 1, now);
-        match balancer.pick(&ask(&service, n % 40), now) {
+        match balancer.pick(&pick_request(&service, n % 40), now) {
             Pick::Send(target) if target.region != region("north") => left += 1,
             Pick::Send(_) => {}
             Pick::Refuse(_) => refused += 1,
@@ -340,7 +340,7 @@
     let list = [endpoint("one", "north", 3)];
     let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
     let service = service();
-    let mut req = ask(&service, 1);
+    let mut req = pick_request(&service, 1);
     req.time_left = req.target_latency;
     assert!(matches!(balancer.pick(&req, now), Pick::Send(_)));
 }
--- a/crates/filbertgrade-coord/tests/steering/fleet.rs
+++ b/crates/filbertgrade-coord/tests/steering/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::steering::homes::{Home, Homes};
+use filbertgrade_coord::steering::affinity::{Affinity, AffinityTable};
 use filbertgrade_coord::steering::members::{Heartbeat, Member, Members, SILENCE_LIMIT};
 
 use crate::scene::{domain, region, vm};
@@ -182,27 +182,27 @@
 #[test]
 fn homes_converge_whatever_the_order_of_messages() {
     let now = Instant::now();
-    let (mut a, mut b) = (Homes::default(), Homes::default());
-    a.met(1, 100, now);
-    b.met(1, 200, now);
-    let (from_a, from_b) = (a.take_news(10), b.take_news(10));
+    let (mut a, mut b) = (AffinityTable::default(), AffinityTable::default());
+    a.record_use(1, 100, now);
+    b.record_use(1, 200, now);
+    let (from_a, from_b) = (a.take_pending_updates(10), b.take_pending_updates(10));
     for home in from_b {
-        a.heard(home, now);
+        a.apply_update(home, now);
     }
     for home in from_a {
-        b.heard(home, now);
+        b.apply_update(home, now);
     }
     assert_eq!(a.get(1), b.get(1));
-    a.met(1, 300, now);
-    for home in a.take_news(10) {
-        b.heard(home, now);
+    a.record_use(1, 300, now);
+    for home in a.take_pending_updates(10) {
+        b.apply_update(home, now);
     }
     assert_eq!(b.get(1), Some(300));
-    b.heard(
-        Home {
+    b.apply_update(
+        Affinity {
             object: 1,
             endpoint: 900,
-            change: 1,
+            version: 1,
             confirmed: true,
         },
         now,
@@ -214,17 +214,17 @@
 #[test]
 fn objects_count_while_they_are_asked_for() {
     let start = Instant::now();
-    let mut homes = Homes::default();
-    homes.met(1, 100, start);
-    homes.met(2, 100, start);
-    homes.met(2, 100, start);
-    assert_eq!(homes.count(100), 2);
+    let mut homes = AffinityTable::default();
+    homes.record_use(1, 100, start);
+    homes.record_use(2, 100, start);
+    homes.record_use(2, 100, start);
+    assert_eq!(homes.object_count(100), 2);
     let later = start + Duration::from_secs(5);
-    homes.met(3, 200, later);
+    homes.record_use(3, 200, later);
     assert_eq!(
-        homes.count(100),
+        homes.object_count(100),
         1,
         "only the object that came again counts"
     );
-    assert_eq!(homes.all(later).len(), 1);
+    assert_eq!(homes.snapshot(later).len(), 1);
 }
--- a/crates/filbertgrade-coord/tests/steering/limits.rs
+++ b/crates/filbertgrade-coord/tests/steering/limits.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::TeamName;
-use filbertgrade_coord::steering::evidence::StoreEvidence;
 use filbertgrade_coord::steering::quota::{Admission, Limit, Quotas};
-use filbertgrade_coord::steering::retry::{RetryBudget, RetryConfig, second_attempt_after};
+use filbertgrade_coord::steering::retry::{RetryBudget, RetryConfig, hedge_delay};
+use filbertgrade_coord::steering::store_health::StoreHealth;
 use indexmap::IndexMap;
 use rstest::rstest;
 
@@ -288,9 +288,9 @@
 /// Guards against second attempts that common variation causes.
 #[test]
 fn second_attempt_waits_for_twice_the_expected_time() {
-    let after = second_attempt_after(Duration::from_millis(400), Duration::from_millis(500));
+    let after = hedge_delay(Duration::from_millis(400), Duration::from_millis(500));
     assert_eq!(after, Duration::from_millis(800));
-    let after = second_attempt_after(Duration::from_millis(10), Duration::from_millis(500));
+    let after = hedge_delay(Duration::from_millis(10), Duration::from_millis(500));
     assert_eq!(after, Duration::from_millis(250));
 }
 
@@ -301,28 +301,31 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let limit = Duration::from_millis(4_500);
-    let mut evidence = StoreEvidence::default();
-    assert!(!evidence.is_within(limit, at(0)));
+    let mut evidence = StoreHealth::default();
+    assert!(!evidence.is_confirmed_within(limit, at(0)));
     evidence.confirm(at(100));
-    evidence.answered(at(120));
-    assert!(evidence.is_within(limit, at(4_600)));
-    assert!(!evidence.is_within(limit, at(4_601)));
+    evidence.record_success(at(120));
+    assert!(evidence.is_confirmed_within(limit, at(4_600)));
+    assert!(!evidence.is_confirmed_within(limit, at(4_601)));
     // An older answer that arrives late proves nothing newer.
     evidence.confirm(at(50));
-    assert!(!evidence.is_within(limit, at(4_601)));
+    assert!(!evidence.is_confirmed_within(limit, at(4_601)));
     assert!(
-        !evidence.failed(at(110)),
+        !evidence.record_failure(at(110)),
         "the call began before the last answer"
     );
-    assert!(evidence.failed(at(1_000)));
-    assert!(!evidence.failed(at(1_200)), "only the first one counts");
-    let outage = evidence.answered(at(3_000)).unwrap();
+    assert!(evidence.record_failure(at(1_000)));
+    assert!(
+        !evidence.record_failure(at(1_200)),
+        "only the first one counts"
+    );
+    let outage = evidence.record_success(at(3_000)).unwrap();
     assert_eq!(outage, Duration::from_millis(2_000));
     assert_eq!(evidence.last_outage().unwrap().ended_at, at(3_000));
     assert_eq!(
-        evidence.steady_for(start, at(5_000)),
+        evidence.available_for(start, at(5_000)),
         Duration::from_millis(2_000)
     );
-    evidence.forget();
-    assert!(!evidence.is_within(limit, at(3_001)));
+    evidence.clear_confirmation();
+    assert!(!evidence.is_confirmed_within(limit, at(3_001)));
 }
--- a/crates/filbertgrade-coord/tests/steering/load.rs
+++ b/crates/filbertgrade-coord/tests/steering/load.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde::Deserialize;
 
-use crate::scene::{ask, balancer, endpoint, service, with_endpoints};
+use crate::scene::{balancer, endpoint, pick_request, service, with_endpoints};
 
 /// One load, as its file describes it.
 #[derive(Deserialize)]
@@ -212,7 +212,7 @@
         let now = self.start + time;
         let balancer = &mut self.vms[vm].1;
         balancer.count_request(&service, 1, now);
-        let mut req = ask(&service, object);
+        let mut req = pick_request(&service, object);
         req.target_latency = Duration::from_millis(self.load.target_ms);
         req.time_left = Duration::from_millis(self.load.timeout_ms);
         let Pick::Send(target) = balancer.pick(&req, now) else {
@@ -289,11 +289,11 @@
         let news: Vec<_> = self
             .vms
             .iter_mut()
-            .map(|(_, vm)| vm.homes().take_news(1_000))
+            .map(|(_, vm)| vm.affinities().take_pending_updates(1_000))
             .collect();
         for (to, (_, vm)) in self.vms.iter_mut().enumerate() {
             for (_, homes) in news.iter().enumerate().filter(|(from, _)| *from != to) {
-                vm.heard_homes(homes.clone(), now);
+                vm.apply_affinities(homes.clone(), now);
             }
         }
         if time.as_secs_f64() < self.load.seconds {
--- a/crates/filbertgrade-coord/tests/steering/scene.rs
+++ b/crates/filbertgrade-coord/tests/steering/scene.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::{FailureDomainName, RegionName, ServiceName, VmName};
-use filbertgrade_coord::steering::balancer::{Ask, Balancer, BalancerConfig};
+use filbertgrade_coord::steering::balancer::{Balancer, BalancerConfig, PickRequest};
 use filbertgrade_coord::steering::deployment::{Deployment, Service};
 use filbertgrade_coord::steering::endpoint::{Endpoint, EndpointKey};
 use filbertgrade_coord::steering::retry::RetryConfig;
@@ -99,13 +99,13 @@
 }
 
 /// A request for an object with 3 s left.
-pub(crate) fn ask(service: &ServiceName, object: u64) -> Ask<'_> {
-    Ask {
+pub(crate) fn pick_request(service: &ServiceName, object: u64) -> PickRequest<'_> {
+    PickRequest {
         service,
         object,
         sticky: true,
         idempotent: true,
-        homes: [&[], &[]],
+        allowed_regions: [&[], &[]],
         tried: &[],
         priority: 1,
         target_latency: TARGET,
--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -117,7 +117,7 @@
     };
     if !connection.is_reused() {
         let time = running.latency();
-        lock(&node.balancer).connected(&running.target.region, time);
+        lock(&node.balancer).record_connect_time(&running.target.region, time);
         metrics::counter!("backend_connections_total").increment(1);
     }
     let Some(req) = request_for(call, &running.target, body) else {
@@ -254,11 +254,11 @@
             target.region,
             status.map_or(0, |s| s.as_u16()),
             self.latency().as_millis(),
-            target.expected.as_millis(),
+            target.expected_latency.as_millis(),
             target.load,
             target.slots,
             target.report_age.map_or(-1, |age| age.as_millis() as i64),
-            target.repeat,
+            target.object_cached,
         );
     }
 }
@@ -281,12 +281,12 @@
     let outcome = match failure {
         Failure::NoConnection => Outcome::Unreachable,
         Failure::DeadlinePassed if state == AttemptState::NotSent => Outcome::Cancelled,
-        Failure::DeadlinePassed => Outcome::Silent,
+        Failure::DeadlinePassed => Outcome::TimedOut,
         // A connection that the endpoint closed while it was idle.
         Failure::ConnectionLost { reused: true } if state == AttemptState::NotSent => {
             Outcome::Cancelled
         }
-        _ => Outcome::Lost,
+        _ => Outcome::ConnectionLost,
     };
     running.end(outcome, None);
     running.log(call, result_name(failure), None);
--- a/crates/filbertgrade/src/process/node/dump.rs
+++ b/crates/filbertgrade/src/process/node/dump.rs
@@ -35,7 +35,7 @@
     let now = Instant::now();
     let version = node.deployment.load().as_ref().map_or(0, |d| d.version);
     metrics::gauge!("configuration_version").set(version as f64);
-    let age = lock(&node.evidence).age(now);
+    let age = lock(&node.evidence).confirmation_age(now);
     metrics::gauge!("configuration_age_seconds").set(age.map_or(f64::NAN, |a| a.as_secs_f64()));
     metrics::gauge!("requests_running").set(node.requests.count() as f64);
     metrics::gauge!("caller_connections").set(node.callers.count() as f64);
@@ -52,7 +52,7 @@
         "ready": node.is_ready(now),
         "leaving": node.is_leaving(),
         "configuration_version": node.deployment.load().as_ref().map(|d| d.version),
-        "configuration_age_ms": lock(&node.evidence).age(now).map(|a| a.as_millis() as u64),
+        "configuration_age_ms": lock(&node.evidence).confirmation_age(now).map(|a| a.as_millis() as u64),
         "requests": node.requests.count(),
     })
 }
@@ -65,7 +65,7 @@
 fn show_endpoints(node: &Node) -> Value {
     let now = Instant::now();
     lock(&node.balancer)
-        .beliefs(now)
+        .endpoint_estimates(now)
         .map(|belief| {
             json!({
                 "id": &*belief.endpoint.key.id,
@@ -76,7 +76,7 @@
                 "load": belief.load,
                 "failures": belief.failures,
                 "slowness": belief.slowness,
-                "resting": belief.resting,
+                "resting": belief.ejected,
                 "cold": belief.cold,
             })
         })
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -46,7 +46,7 @@
             next_of_region = now + INTERVAL;
         }
         let newcomers = lock(&node.members).take_newcomers();
-        if now >= next || lock(&node.balancer).homes().has_news() {
+        if now >= next || lock(&node.balancer).affinities().has_pending_updates() {
             send_once(&node, &socket, Reach::Region).await;
             next = now + INTERVAL;
         } else if !newcomers.is_empty() {
@@ -108,7 +108,7 @@
 
 fn header(node: &Node, now: Instant) -> WireHeartbeat {
     let heartbeat = node.heartbeat(now);
-    let steady = lock(&node.evidence).steady_for(node.started, now);
+    let steady = lock(&node.evidence).available_for(node.started, now);
     WireHeartbeat {
         vm: node.settings.load().vm.as_str().to_owned(),
         incarnation: heartbeat.incarnation,
@@ -122,7 +122,9 @@
 
 fn encode(node: &Node, now: Instant) -> Vec<u8> {
     let demand = lock(&node.quotas).demand(now);
-    let homes = lock(&node.balancer).homes().take_news(MOST_HOMES);
+    let homes = lock(&node.balancer)
+        .affinities()
+        .take_pending_updates(MOST_HOMES);
     let mut wire = WireHeartbeat {
         homes: homes.into_iter().map(WireHome::from).collect(),
         wants_homes: now.saturating_duration_since(node.started) < ASK_TIME,
@@ -215,7 +217,7 @@
         return;
     };
     let now = Instant::now();
-    let homes = lock(&node.balancer).homes().all(now);
+    let homes = lock(&node.balancer).affinities().snapshot(now);
     for part in homes.chunks(MOST_HOMES) {
         let wire = WireHeartbeat {
             homes: part.iter().copied().map(WireHome::from).collect(),
@@ -256,7 +258,7 @@
         );
     }
     store::heard_steady(node, store_steady, now);
-    lock(&node.balancer).heard_homes(homes, now);
+    lock(&node.balancer).apply_affinities(homes, now);
     let mut asker = None;
     if wants_homes {
         let running = lock(&node.members).running(now);
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -29,12 +29,12 @@
 use filbertgrade_coord::names::VmName;
 use filbertgrade_coord::steering::balancer::{Balancer, BalancerConfig};
 use filbertgrade_coord::steering::deployment::Deployment;
-use filbertgrade_coord::steering::evidence::StoreEvidence;
 use filbertgrade_coord::steering::members::{Heartbeat, Member, Members};
 use filbertgrade_coord::steering::quota::Quotas;
 use filbertgrade_coord::steering::registry::Registry;
 use filbertgrade_coord::steering::retry::RetryConfig;
 use filbertgrade_coord::steering::settings::Settings;
+use filbertgrade_coord::steering::store_health::StoreHealth;
 use filbertgrade_platform::settings::SettingsFault;
 use indexmap::IndexMap;
 use tokio::net::{TcpListener, UdpSocket};
@@ -131,7 +131,7 @@
     /// Questions to other VMs about teams' limits.
     tokens: TokenQuestions,
     pub(crate) members: Mutex<Members>,
-    pub(crate) evidence: Mutex<StoreEvidence>,
+    pub(crate) evidence: Mutex<StoreHealth>,
     pub(crate) suspension: Mutex<SuspensionDetector>,
     copies: Copies,
     pub(crate) pool: Pool,
@@ -199,7 +199,7 @@
     /// The copy of the configuration is recent enough to honour keys.
     pub(crate) fn is_current(&self, now: Instant) -> bool {
         self.note_suspension();
-        lock(&self.evidence).is_within(self.key_limit(), now)
+        lock(&self.evidence).is_confirmed_within(self.key_limit(), now)
     }
 
     /// Age of the copy beyond which keys are not honoured.
@@ -244,7 +244,7 @@
             return;
         };
         log::warn!("event=vm_suspended ms={}", time.as_millis());
-        lock(&self.evidence).forget();
+        lock(&self.evidence).clear_confirmation();
     }
 }
 
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::steering::evidence::Outage;
+use filbertgrade_coord::steering::store_health::Outage;
 use filbertgrade_platform::objects::Kind;
 use filbertgrade_platform::store::{Event, Object};
 use tokio::net::TcpListener;
@@ -148,7 +148,7 @@
         events: reply.events.into_iter().map(StoreEvent::from).collect(),
         held_ms: millis(now.saturating_duration_since(began)),
         age_ms: millis(age),
-        outage_began_ms: outage.map(|outage| ms(outage.began_at)),
+        outage_began_ms: outage.map(|outage| ms(outage.started_at)),
         outage_ended_ms: outage.map(|outage| ms(outage.ended_at)),
     })
 }
@@ -190,8 +190,11 @@
         .outage_began_ms
         .and_then(ago)
         .zip(wire.outage_ended_ms.and_then(ago));
-    if let Some((began_at, ended_at)) = outage {
-        lock(&node.evidence).adopt(Outage { began_at, ended_at });
+    if let Some((started_at, ended_at)) = outage {
+        lock(&node.evidence).adopt_outage(Outage {
+            started_at,
+            ended_at,
+        });
     }
     // The relay spoke not before it had held the question.
     let spoke_at = sent_at + Duration::from_millis(wire.held_ms);
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::ServiceName;
-use filbertgrade_coord::steering::balancer::{Ask, NoPick, Pick, Target};
+use filbertgrade_coord::steering::balancer::{Pick, PickRefusal, PickRequest, Target};
 use filbertgrade_coord::steering::deployment::{Deployment, Route, Team};
 use filbertgrade_coord::steering::endpoint::EndpointKey;
 use filbertgrade_coord::steering::placement::object_hash;
-use filbertgrade_coord::steering::retry::second_attempt_after;
+use filbertgrade_coord::steering::retry::hedge_delay;
 use filbertgrade_platform::headers::RequestHead;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -113,14 +113,14 @@
         id_of(&self.head)
     }
 
-    fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> Ask<'a> {
+    fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> PickRequest<'a> {
         let team_homes = self.team.as_ref().map_or(&[][..], |team| &team.homes);
-        Ask {
+        PickRequest {
             service: &self.service,
             object: self.object,
             sticky: self.route.sticky && self.has_object,
             idempotent: self.route.kind.is_idempotent(),
-            homes: [&self.route.homes, team_homes],
+            allowed_regions: [&self.route.homes, team_homes],
             tried,
             priority: self.priority(),
             target_latency: self.route.target_latency,
@@ -337,11 +337,11 @@
             progress.last_target = Some(target.clone());
             Ok((target, body))
         }
-        Pick::Refuse(NoPick::NoEndpoint) => Err(Refused::come_back(
+        Pick::Refuse(PickRefusal::NoEndpoint) => Err(Refused::come_back(
             Cause::NoEndpoint,
             Duration::from_millis(500),
         )),
-        Pick::Refuse(NoPick::Busy(after)) => Err(Refused::come_back(Cause::Busy, after)),
+        Pick::Refuse(PickRefusal::Busy(after)) => Err(Refused::come_back(Cause::Busy, after)),
     }
 }
 
@@ -361,7 +361,7 @@
 
 fn second_at(call: &Call, target: &Target) -> Instant {
     if call.route.kind.is_idempotent() {
-        Instant::now() + second_attempt_after(target.expected, call.route.target_latency)
+        Instant::now() + hedge_delay(target.expected_latency, call.route.target_latency)
     } else {
         call.deadline + DEFAULT_TIME
     }
@@ -378,7 +378,7 @@
     if attempts >= call.route.max_attempts || !upload.is_replayable() {
         return None;
     }
-    if !lock(&node.balancer).try_repeat(&call.service, Instant::now()) {
+    if !lock(&node.balancer).try_take_retry(&call.service, Instant::now()) {
         return None;
     }
     let placed = place(node, call, upload, progress).ok()?;
@@ -423,7 +423,7 @@
     let reached = state > AttemptState::NotSent;
     if matches!(step, NextStep::Retry { .. })
         && reached
-        && !lock(&node.balancer).try_repeat(&call.service, now)
+        && !lock(&node.balancer).try_take_retry(&call.service, now)
     {
         situation.budget = false;
         situation.replayable = false;
@@ -474,12 +474,19 @@
         Ok(answer) => answer,
         Err(refused) => return refuse(&call.head, &refused, call.arrived, &context),
     };
-    let (load, slots, repeat, rank, expected) = progress
-        .last_target
-        .as_ref()
-        .map_or((0.0, 0, false, 0, 0), |t| {
-            (t.load, t.slots, t.repeat, t.rank, t.expected.as_millis())
-        });
+    let (load, slots, repeat, rank, expected) =
+        progress
+            .last_target
+            .as_ref()
+            .map_or((0.0, 0, false, 0, 0), |t| {
+                (
+                    t.load,
+                    t.slots,
+                    t.object_cached,
+                    t.rank,
+                    t.expected_latency.as_millis(),
+                )
+            });
     log::info!(
         "event=answered id={} {context} status={} ms={ms} expected_ms={expected} load={load:.1} slots={slots} repeat={repeat} rank={rank} object={:x}",
         call.id(),
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -364,7 +364,7 @@
 fn answered(node: &Node, kind: Kind) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "ok").increment(1);
-    let outage = lock(&node.evidence).answered(Instant::now());
+    let outage = lock(&node.evidence).record_success(Instant::now());
     if let Some(outage) = outage {
         node.store_back.send_replace(());
         log::info!(
@@ -386,7 +386,7 @@
     let since = now
         .checked_sub(CALL_TIMEOUT)
         .map_or(began, |at| at.max(began));
-    if lock(&node.evidence).failed(since) {
+    if lock(&node.evidence).record_failure(since) {
         log::warn!(
             "event=store_lost kind={kind} error={}",
             logfmt::value(error)
@@ -552,10 +552,10 @@
     let Some(outage) = evidence.last_outage() else {
         return;
     };
-    if steady < now.saturating_duration_since(outage.began_at) {
+    if steady < now.saturating_duration_since(outage.started_at) {
         return;
     }
-    evidence.outage_was_own();
+    evidence.discard_local_outage();
     drop(evidence);
     log::info!("event=outage_was_own");
     if lock(&node.registry).drop_lapsed() {
--- a/crates/filbertgrade/src/wire/peer.rs
+++ b/crates/filbertgrade/src/wire/peer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filbertgrade_coord::names::{NameError, RegionName, TeamName, VmName};
-use filbertgrade_coord::steering::homes::Home;
+use filbertgrade_coord::steering::affinity::Affinity;
 use filbertgrade_coord::steering::members::Heartbeat;
 use filbertgrade_coord::steering::quota::Grant;
 use prost::Message;
@@ -121,23 +121,23 @@
     pub(crate) confirmed: bool,
 }
 
-impl From<Home> for WireHome {
-    fn from(home: Home) -> Self {
+impl From<Affinity> for WireHome {
+    fn from(home: Affinity) -> Self {
         Self {
             object: home.object,
             endpoint: home.endpoint,
-            change: home.change,
+            change: home.version,
             confirmed: home.confirmed,
         }
     }
 }
 
-impl From<WireHome> for Home {
+impl From<WireHome> for Affinity {
     fn from(wire: WireHome) -> Self {
         Self {
             object: wire.object,
             endpoint: wire.endpoint,
-            change: wire.change,
+            version: wire.change,
             confirmed: wire.confirmed,
         }
     }
@@ -167,7 +167,7 @@
     pub(crate) heartbeat: Heartbeat,
     /// Requests a second that the sender counts, if it told them.
     pub(crate) demand: Option<HashMap<TeamName, f64>>,
-    pub(crate) homes: Vec<Home>,
+    pub(crate) homes: Vec<Affinity>,
     pub(crate) wants_homes: bool,
     pub(crate) store_steady: Duration,
     pub(crate) region: Option<RegionState>,
@@ -209,7 +209,7 @@
                 leaving: wire.leaving,
             },
             demand: wire.demand.map(demand).transpose()?,
-            homes: wire.homes.into_iter().map(Home::from).collect(),
+            homes: wire.homes.into_iter().map(Affinity::from).collect(),
             wants_homes: wire.wants_homes,
             store_steady: Duration::from_millis(wire.store_steady_ms),
             region: wire.region.map(RegionState::try_from).transpose()?,
