--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -51,19 +51,19 @@
     /// Rank; 0 is the most urgent.
     pub priority: u32,
     /// Regions in which requests may run; empty allows all.
-    pub homes: Vec<RegionName>,
+    pub home_regions: Vec<RegionName>,
     /// No key is needed.
     pub public: bool,
     /// An endpoint that handled an object recently handles it faster.
     pub sticky: bool,
     /// Services with their weights. Invariant: not empty, and the sum of the
     /// weights is positive.
-    pub parts: Vec<RoutePart>,
+    pub services: Vec<WeightedService>,
 }
 
 /// One service of a route.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RoutePart {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Weight among the parts; finite and not negative.
@@ -106,7 +106,7 @@
     /// Requests beyond the rate; zero means none.
     pub burst: f64,
     /// Regions in which its requests may run; empty allows all.
-    pub homes: Vec<RegionName>,
+    pub home_regions: Vec<RegionName>,
 }
 
 /// What callers may send, and how long they may take.
@@ -164,17 +164,17 @@
 
 impl Route {
     /// The part of the route for a request, by a number that is spread evenly.
-    pub fn part(&self, spread: u64) -> &RoutePart {
-        let total: f64 = self.parts.iter().map(|part| part.weight).sum();
+    pub fn select_service(&self, spread: u64) -> &WeightedService {
+        let total: f64 = self.services.iter().map(|part| part.weight).sum();
         let mut point = crate::steering::placement::unit(spread) * total;
-        for part in &self.parts {
+        for part in &self.services {
             point -= part.weight;
             if point < 0.0 {
                 return part;
             }
         }
         // Rounding can leave a rest after the last part.
-        &self.parts[self.parts.len() - 1]
+        &self.services[self.services.len() - 1]
     }
 }
 
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -13,7 +13,7 @@
 
 /// Time without a heartbeat after which a VM counts as down. Single datagrams
 /// are lost, so it is several intervals.
-pub const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Most VMs that a look-up names.
 pub const MOST_NAMED: usize = 64;
@@ -34,9 +34,9 @@
     /// Number that its process drew at its start.
     pub incarnation: u64,
     /// Where it takes callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where it takes heartbeats.
-    pub heartbeats: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Its region.
     pub region: RegionName,
     /// Its failure domain.
@@ -95,7 +95,7 @@
                 _ => {
                     changed = true;
                     if member.region == self.me.region {
-                        self.newcomers.push(member.heartbeats);
+                        self.newcomers.push(member.peer_address);
                     }
                     Peer {
                         listed_at: now,
@@ -111,13 +111,13 @@
 
     /// Where the VMs of this region that were listed since the last call take
     /// heartbeats. They learn from a heartbeat at once who runs.
-    pub fn take_newcomers(&mut self) -> Vec<SocketAddr> {
+    pub fn take_new_members(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.newcomers)
     }
 
     /// Notes a heartbeat. Returns true when the VM was silent before, or says
     /// something new. Heartbeats of VMs that are not listed are ignored.
-    pub fn heard(&mut self, vm: &VmName, heartbeat: Heartbeat, now: Instant) -> bool {
+    pub fn record_heartbeat(&mut self, vm: &VmName, heartbeat: Heartbeat, now: Instant) -> bool {
         let Some(peer) = self.peers.get_mut(vm) else {
             return false;
         };
@@ -126,7 +126,7 @@
         }
         let before = peer.heard.replace((now, heartbeat));
         before.is_none_or(|(at, old)| {
-            old != heartbeat || now.saturating_duration_since(at) > SILENCE_LIMIT
+            old != heartbeat || now.saturating_duration_since(at) > HEARTBEAT_TIMEOUT
         })
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// The other VMs that have been silent for longer than `limit`.
-    pub fn silent(&self, limit: Duration, now: Instant) -> impl Iterator<Item = &Member> {
+    pub fn timed_out(&self, limit: Duration, now: Instant) -> impl Iterator<Item = &Member> {
         self.peers
             .values()
             .filter(move |peer| peer.silence(now) > limit)
@@ -162,7 +162,7 @@
             .filter(|peer| peer.heard.is_some() && peer.is_running(now))
             .map(|peer| &peer.member)
             .filter(|member| in_region(member))
-            .map(|member| (member.vm.as_str(), member.heartbeats))
+            .map(|member| (member.vm.as_str(), member.peer_address))
             .collect();
         let key = format!("relay/{}", self.me.region);
         let me = self.me.vm.as_str();
@@ -184,7 +184,7 @@
 
     /// Notes which VMs of another region run, and which of them are ready, as
     /// one of them told.
-    pub fn heard_region(
+    pub fn record_region_summary(
         &mut self,
         region: &RegionName,
         running: &HashMap<VmName, bool>,
@@ -206,7 +206,7 @@
     }
 
     /// The VMs of this region that run, and whether they are ready.
-    pub fn region_state(&self, me_ready: bool, now: Instant) -> Vec<(VmName, bool)> {
+    pub fn region_summary(&self, me_ready: bool, now: Instant) -> Vec<(VmName, bool)> {
         let mut state: Vec<(VmName, bool)> = self
             .peers
             .values()
@@ -235,7 +235,7 @@
     /// Where callers of a region should connect: VMs that are ready there, or
     /// else anywhere. This VM is named by `me_ready`. The list is empty only
     /// when no VM takes callers.
-    pub fn callers_of(
+    pub fn lookup_addresses(
         &self,
         region: Option<&RegionName>,
         me_ready: bool,
@@ -256,7 +256,7 @@
         }
         named.sort_by(|a, b| a.vm.cmp(&b.vm));
         named.truncate(MOST_NAMED);
-        named.iter().map(|member| member.callers).collect()
+        named.iter().map(|member| member.caller_address).collect()
     }
 
     fn takers(&self, me: bool, now: Instant, takes: fn(&Peer, Instant) -> bool) -> Vec<&Member> {
@@ -280,7 +280,7 @@
     }
 
     fn is_running(&self, now: Instant) -> bool {
-        !self.is_leaving() && self.silence(now) <= SILENCE_LIMIT
+        !self.is_leaving() && self.silence(now) <= HEARTBEAT_TIMEOUT
     }
 
     fn is_ready(&self, now: Instant) -> bool {
--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -70,8 +70,8 @@
     /// It is not; a token may be there after this time.
     Refused(Duration),
     /// A holder has to be asked. What follows from its answer is told by
-    /// [`Quotas::answered`], or without an answer by [`Quotas::unanswered`].
-    Ask(TokenRequest),
+    /// [`Quotas::handle_response`], or without an answer by [`Quotas::handle_timeout`].
+    RequestTokens(TokenRequest),
 }
 
 /// A question to a holder.
@@ -188,7 +188,7 @@
     }
 
     /// Notes the arrivals at all VMs of another region.
-    pub fn heard_region(
+    pub fn record_region_demand(
         &mut self,
         region: RegionName,
         teams: HashMap<TeamName, f64>,
@@ -198,7 +198,7 @@
     }
 
     /// Notes the arrivals that another VM of this region counts as a holder.
-    pub fn heard(&mut self, vm: VmName, teams: HashMap<TeamName, f64>, now: Instant) {
+    pub fn record_peer_demand(&mut self, vm: VmName, teams: HashMap<TeamName, f64>, now: Instant) {
         if self.others.heard_peer(vm, teams, now) {
             self.candidates.looked_at = None;
         }
@@ -206,13 +206,13 @@
 
     /// Notes that another VM of this region is about to stop. It holds nothing
     /// from now on, and still asks.
-    pub fn peer_leaves(&mut self, vm: &VmName) {
+    pub fn mark_peer_leaving(&mut self, vm: &VmName) {
         self.others.peer_leaves(vm);
         self.candidates.looked_at = None;
     }
 
     /// Notes that this VM is about to stop.
-    pub fn leave(&mut self) {
+    pub fn mark_leaving(&mut self) {
         self.leaving = true;
         self.candidates.looked_at = None;
     }
@@ -275,13 +275,18 @@
     }
 
     /// What follows from a holder's answer.
-    pub fn answered(&mut self, request: TokenRequest, grant: Grant, now: Instant) -> Admission {
+    pub fn handle_response(
+        &mut self,
+        request: TokenRequest,
+        grant: Grant,
+        now: Instant,
+    ) -> Admission {
         self.unanswered.remove(&request.holder);
         self.take_grant(request, grant, now)
     }
 
     /// What follows when a holder does not answer in time.
-    pub fn unanswered(&mut self, mut request: TokenRequest, now: Instant) -> Admission {
+    pub fn handle_timeout(&mut self, mut request: TokenRequest, now: Instant) -> Admission {
         self.unanswered
             .insert(request.holder.clone(), now + UNANSWERED_TIME);
         request.rank += 1;
@@ -320,7 +325,7 @@
                 .is_none_or(|until| now >= *until)
             {
                 request.holder = holder.clone();
-                return Admission::Ask(request);
+                return Admission::RequestTokens(request);
             }
             request.rank += 1;
         }
--- a/crates/filbertgrade-coord/src/steering/registry.rs
+++ b/crates/filbertgrade-coord/src/steering/registry.rs
@@ -11,7 +11,7 @@
 
 /// How long after an outage of the store a registration that is gone may still
 /// come back.
-pub const RETURN_TIME: Duration = Duration::from_millis(2_000);
+pub const REREGISTRATION_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Registrations by endpoint id.
 #[derive(Clone, Debug, Default)]
@@ -78,7 +78,7 @@
         }
         self.revision = revision;
         let hold = back_at
-            .map(|at| at + RETURN_TIME)
+            .map(|at| at + REREGISTRATION_GRACE)
             .filter(|until| now < *until);
         for change in changes {
             self.apply_one(change, hold);
--- a/crates/filbertgrade-coord/src/steering/settings.rs
+++ b/crates/filbertgrade-coord/src/steering/settings.rs
@@ -46,15 +46,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Time from a request to stop until the process is ended.
-    pub stop_time: Duration,
+    pub stop_grace: Duration,
     /// Time after which a withdrawn key must not work.
     pub key_withdrawal: Duration,
     /// Repeats for each request to a service, over all VMs.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Window of the repeats.
-    pub repeat_window: Duration,
+    pub retry_window: Duration,
     /// Repeats beyond the ratio in a window.
-    pub repeat_allowance: f64,
+    pub retry_allowance: f64,
     /// Requests of a team beyond its rate and burst that are borne in a window.
     pub rate_allowance: f64,
     /// Part of a region's requests that may change their region within 2 s.
--- a/crates/filbertgrade-coord/tests/steering/fleet.rs
+++ b/crates/filbertgrade-coord/tests/steering/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::steering::homes::{Home, Homes};
-use filbertgrade_coord::steering::members::{Heartbeat, Member, Members, SILENCE_LIMIT};
+use filbertgrade_coord::steering::members::{HEARTBEAT_TIMEOUT, Heartbeat, Member, Members};
 
 use crate::scene::{domain, region, vm};
 
@@ -13,8 +13,8 @@
     Member {
         vm: vm(name),
         incarnation: u64::from(port),
-        callers: SocketAddr::from(([10, 0, 0, 1], port)),
-        heartbeats: SocketAddr::from(([10, 0, 0, 2], port)),
+        caller_address: SocketAddr::from(([10, 0, 0, 1], port)),
+        peer_address: SocketAddr::from(([10, 0, 0, 2], port)),
         region: region(place),
         failure_domain: domain(&format!("{place}-a")),
     }
@@ -47,25 +47,25 @@
     members.set_listed(vec![a.clone(), b.clone(), c.clone()], start);
     let north = region("north");
     assert_eq!(
-        ports(&members.callers_of(Some(&north), true, start)),
+        ports(&members.lookup_addresses(Some(&north), true, start)),
         [2, 3, 1]
     );
-    let now = start + SILENCE_LIMIT + Duration::from_millis(1);
-    members.heard(&a.vm, beat(&a, true), now);
+    let now = start + HEARTBEAT_TIMEOUT + Duration::from_millis(1);
+    members.record_heartbeat(&a.vm, beat(&a, true), now);
     assert_eq!(
-        ports(&members.callers_of(Some(&north), true, now)),
+        ports(&members.lookup_addresses(Some(&north), true, now)),
         [2, 1],
         "b is silent"
     );
-    members.heard(&a.vm, beat(&a, false), now);
+    members.record_heartbeat(&a.vm, beat(&a, false), now);
     assert_eq!(
-        ports(&members.callers_of(Some(&north), true, now)),
+        ports(&members.lookup_addresses(Some(&north), true, now)),
         [1],
         "a is not ready"
     );
-    members.heard(&c.vm, beat(&c, true), now);
+    members.record_heartbeat(&c.vm, beat(&c, true), now);
     assert_eq!(
-        ports(&members.callers_of(Some(&north), false, now)),
+        ports(&members.lookup_addresses(Some(&north), false, now)),
         [4],
         "another region is ready"
     );
@@ -73,16 +73,22 @@
         leaving: true,
         ..beat(&c, true)
     };
-    members.heard(&c.vm, leaving, now);
-    let named = ports(&members.callers_of(Some(&north), false, now));
+    members.record_heartbeat(&c.vm, leaving, now);
+    let named = ports(&members.lookup_addresses(Some(&north), false, now));
     assert_eq!(named, [2], "a runs, though it is not ready");
     let stale = Heartbeat {
         incarnation: 99,
         ..beat(&b, true)
     };
-    assert!(!members.heard(&b.vm, stale, now), "another start of b");
+    assert!(
+        !members.record_heartbeat(&b.vm, stale, now),
+        "another start of b"
+    );
     let alone = Members::new(member("me", "north", 1));
-    assert_eq!(ports(&alone.callers_of(Some(&north), false, now)), [1]);
+    assert_eq!(
+        ports(&alone.lookup_addresses(Some(&north), false, now)),
+        [1]
+    );
 }
 
 /// Guards against two followers of the store in a region, or none, and against
@@ -97,22 +103,22 @@
         let mut members = Members::new(me.clone());
         members.set_listed(all.clone(), start);
         for peer in all.iter().filter(|peer| Some(*peer) != dead) {
-            members.heard(&peer.vm, beat(peer, true), start);
+            members.record_heartbeat(&peer.vm, beat(peer, true), start);
         }
-        members.relay(start).unwrap_or(me.heartbeats)
+        members.relay(start).unwrap_or(me.peer_address)
     };
     let relay = relay_of(&all[0], None);
     assert!(all.iter().all(|me| relay_of(me, None) == relay));
     let dead = all
         .iter()
-        .find(|member| member.heartbeats == relay)
+        .find(|member| member.peer_address == relay)
         .unwrap();
     // The one that takes over asks the relay first, all others ask it second.
     let second_of = |me: &Member| {
         let mut members = Members::new(me.clone());
         members.set_listed(all.clone(), start);
         for peer in &all {
-            members.heard(&peer.vm, beat(peer, true), start);
+            members.record_heartbeat(&peer.vm, beat(peer, true), start);
         }
         members.relays(start).get(1).copied()
     };
@@ -123,7 +129,7 @@
     assert!(
         living
             .iter()
-            .all(|me| second_of(me).unwrap_or(me.heartbeats) == next)
+            .all(|me| second_of(me).unwrap_or(me.peer_address) == next)
     );
 }
 
@@ -141,18 +147,18 @@
         let mut members = Members::new(me.clone());
         members.set_listed(all.clone(), start);
         for peer in &all {
-            members.heard(&peer.vm, beat(peer, true), start);
+            members.record_heartbeat(&peer.vm, beat(peer, true), start);
         }
         if let Some(parent) = members.relay(start) {
             *asked.entry(parent).or_default() += 1;
-            parents.insert(me.heartbeats, parent);
+            parents.insert(me.peer_address, parent);
         }
     }
     assert_eq!(parents.len(), 174, "one VM follows the store");
     assert!(asked.values().all(|count| *count <= 10), "{asked:?}");
     for me in &all {
         let mut steps = 0;
-        let mut at = me.heartbeats;
+        let mut at = me.peer_address;
         while let Some(parent) = parents.get(&at) {
             at = *parent;
             steps += 1;
@@ -170,10 +176,10 @@
     let d = member("d", "south", 5);
     let mut members = Members::new(member("me", "north", 1));
     members.set_listed(vec![c.clone(), d.clone()], start);
-    let now = start + SILENCE_LIMIT * 2;
+    let now = start + HEARTBEAT_TIMEOUT * 2;
     assert_eq!(members.running(now), [vm("me")]);
     let state = HashMap::from([(c.vm.clone(), true)]);
-    members.heard_region(&region("south"), &state, now);
+    members.record_region_summary(&region("south"), &state, now);
     assert_eq!(members.running(now), [vm("c"), vm("me")]);
 }
 
--- a/crates/filbertgrade-coord/tests/steering/limits.rs
+++ b/crates/filbertgrade-coord/tests/steering/limits.rs
@@ -91,13 +91,13 @@
                 if m != n && m / of_region == n / of_region && heard(m, n) {
                     self.vms[n]
                         .1
-                        .heard(vm(&format!("vm-{m}")), told.clone(), now);
+                        .record_peer_demand(vm(&format!("vm-{m}")), told.clone(), now);
                 }
             }
             for (place, told) in regions.iter().enumerate() {
                 if place != n / of_region && heard(place * of_region, n) {
                     let name = region(&format!("r{place}"));
-                    self.vms[n].1.heard_region(name, told.clone(), now);
+                    self.vms[n].1.record_region_demand(name, told.clone(), now);
                 }
             }
         }
@@ -105,16 +105,16 @@
 
     fn send(&mut self, n: usize, now: Instant) -> bool {
         let mut admission = self.vms[n].1.admit(&team(), now);
-        while let Admission::Ask(request) = admission {
+        while let Admission::RequestTokens(request) = admission {
             let holder = (0..self.vms.len())
                 .find(|m| vm(&format!("vm-{m}")) == request.holder)
                 .unwrap();
             admission = if self.cut.is_some_and(|cut| cut == n || cut == holder) {
-                self.vms[n].1.unanswered(request, now)
+                self.vms[n].1.handle_timeout(request, now)
             } else {
                 let (tokens, arrivals) = (request.tokens, request.arrivals);
                 let grant = self.vms[holder].1.grant(&team(), tokens, arrivals, now);
-                self.vms[n].1.answered(request, grant, now)
+                self.vms[n].1.handle_response(request, grant, now)
             };
         }
         let admitted = admission == Admission::Admitted;
@@ -253,12 +253,12 @@
     let peers: Vec<_> = (1..9).map(|n| vm(&format!("vm-{n}"))).collect();
     quotas.set_vms(&peers, &IndexMap::new());
     for peer in &peers {
-        quotas.heard(peer.clone(), HashMap::new(), start);
+        quotas.record_peer_demand(peer.clone(), HashMap::new(), start);
     }
     let now = start + Duration::from_secs(1);
     let mut admission = quotas.admit(&team(), now);
-    while let Admission::Ask(request) = admission {
-        admission = quotas.unanswered(request, now);
+    while let Admission::RequestTokens(request) = admission {
+        admission = quotas.handle_timeout(request, now);
     }
     assert_eq!(admission, Admission::Admitted);
 }
--- a/crates/filbertgrade-coord/tests/steering/registry.rs
+++ b/crates/filbertgrade-coord/tests/steering/registry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::steering::registry::{RETURN_TIME, Registry, RegistryChange};
+use filbertgrade_coord::steering::registry::{REREGISTRATION_GRACE, Registry, RegistryChange};
 
 use crate::scene::endpoint;
 
@@ -49,7 +49,7 @@
         back + Duration::from_millis(500),
         Some(back),
     );
-    registry.expire(back + RETURN_TIME);
+    registry.expire(back + REREGISTRATION_GRACE);
     assert_eq!(ids(&registry), ["a"]);
 }
 
@@ -73,7 +73,7 @@
     let mut registry = Registry::default();
     registry.apply([written("a", false)], 5, start, None);
     let long_ago = start + Duration::from_secs(1);
-    let now = long_ago + RETURN_TIME;
+    let now = long_ago + REREGISTRATION_GRACE;
     registry.apply([removed("a")], 6, now, Some(long_ago));
     assert!(ids(&registry).is_empty());
 }
--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -147,7 +147,7 @@
     match Question::read(req.method(), req.uri()) {
         Some(Question::Lookup(region)) => {
             let ready = node.is_ready(now);
-            let vms = lock(&node.members).callers_of(region.as_ref(), ready, now);
+            let vms = lock(&node.members).lookup_addresses(region.as_ref(), ready, now);
             let ttl = LOOKUP_TTL.min(node.settings.load().bounds.lookup_ttl);
             answer::json(StatusCode::OK, lookup::answer(&vms, ttl))
         }
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -45,13 +45,13 @@
             send_region(&node, &socket).await;
             next_of_region = now + INTERVAL;
         }
-        let newcomers = lock(&node.members).take_newcomers();
+        let newcomers = lock(&node.members).take_new_members();
         if now >= next || lock(&node.balancer).homes().has_news() {
             send_once(&node, &socket, Reach::Region).await;
             next = now + INTERVAL;
         } else if !newcomers.is_empty() {
             let bytes = encode(&node, now);
-            let is_new = |member: &Member| newcomers.contains(&member.heartbeats);
+            let is_new = |member: &Member| newcomers.contains(&member.peer_address);
             send_to(&node, &socket, &bytes, is_new).await;
         }
         tokio::time::sleep(NEWS_INTERVAL).await;
@@ -91,7 +91,7 @@
     let peers: Vec<SocketAddr> = lock(&node.members)
         .peers()
         .filter(|member| reached(member))
-        .map(|member| member.heartbeats)
+        .map(|member| member.peer_address)
         .collect();
     for peer in peers {
         if let Err(error) = socket.send_to(bytes, peer).await {
@@ -134,7 +134,7 @@
 }
 
 fn encode_region(node: &Node, now: Instant) -> Vec<u8> {
-    let state = lock(&node.members).region_state(node.is_ready(now), now);
+    let state = lock(&node.members).region_summary(node.is_ready(now), now);
     let names = |wanted: bool| {
         let named = state.iter().filter(|(_, ready)| *ready == wanted);
         named.map(|(vm, _)| vm.as_str().to_owned()).collect()
@@ -210,7 +210,7 @@
     let address = lock(&node.members)
         .peers()
         .find(|member| member.vm == *vm)
-        .map(|member| member.heartbeats);
+        .map(|member| member.peer_address);
     let Some(address) = address else {
         return;
     };
@@ -244,11 +244,11 @@
         region,
     } = received;
     if let Some(state) = region {
-        lock(&node.members).heard_region(&state.region, &state.running, now);
-        lock(&node.quotas).heard_region(state.region, demand.unwrap_or_default(), now);
+        lock(&node.members).record_region_summary(&state.region, &state.running, now);
+        lock(&node.quotas).record_region_demand(state.region, demand.unwrap_or_default(), now);
         return None;
     }
-    if lock(&node.members).heard(&vm, heartbeat, now) {
+    if lock(&node.members).record_heartbeat(&vm, heartbeat, now) {
         log::info!(
             "event=peer_state vm={vm} ready={} leaving={}",
             heartbeat.ready,
@@ -266,9 +266,9 @@
         }
     }
     if heartbeat.leaving {
-        lock(&node.quotas).peer_leaves(&vm);
+        lock(&node.quotas).mark_peer_leaving(&vm);
     } else if let Some(demand) = demand {
-        lock(&node.quotas).heard(vm, demand, now);
+        lock(&node.quotas).record_peer_demand(vm, demand, now);
     }
     asker
 }
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -255,9 +255,9 @@
         region: settings.region.clone(),
         regions: settings.regions.clone(),
         retry: RetryConfig {
-            ratio: bounds.repeat_ratio * REPEATS_USED,
-            allowance: bounds.repeat_allowance * REPEATS_USED,
-            window: bounds.repeat_window,
+            ratio: bounds.retry_ratio * REPEATS_USED,
+            allowance: bounds.retry_allowance * REPEATS_USED,
+            window: bounds.retry_window,
         },
         shift_cap: bounds.shift_cap,
     }
@@ -273,8 +273,8 @@
     Member {
         vm: settings.vm.clone(),
         incarnation,
-        callers: settings.listen.callers,
-        heartbeats: settings.listen.peers,
+        caller_address: settings.listen.callers,
+        peer_address: settings.listen.peers,
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
     }
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -114,13 +114,16 @@
     }
 
     fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> Ask<'a> {
-        let team_homes = self.team.as_ref().map_or(&[][..], |team| &team.homes);
+        let team_homes = self
+            .team
+            .as_ref()
+            .map_or(&[][..], |team| &team.home_regions);
         Ask {
             service: &self.service,
             object: self.object,
             sticky: self.route.sticky && self.has_object,
             idempotent: self.route.kind.is_idempotent(),
-            homes: [&self.route.homes, team_homes],
+            homes: [&self.route.home_regions, team_homes],
             tried,
             priority: self.priority(),
             target_latency: self.route.target_latency,
@@ -177,7 +180,7 @@
         .map(|object| object_hash(route.name.as_str(), object.as_bytes()));
     let has_object = spread.is_some();
     let spread = spread.unwrap_or_else(rand::random);
-    let service = route.part(spread).service.clone();
+    let service = route.select_service(spread).service.clone();
     let object = head.object.as_ref().map_or(spread, |object| {
         object_hash(service.as_str(), object.as_bytes())
     });
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -39,7 +39,7 @@
     };
     callers::serve_requests(node, listener, &close.subscribe(), leave).await;
     let _ = close.send(true);
-    let time = node.settings.load().bounds.stop_time;
+    let time = node.settings.load().bounds.stop_grace;
     let rest = time.saturating_sub(ACCEPT_TIME + STOP_MARGIN);
     if tokio::time::timeout(rest, node.callers.wait())
         .await
@@ -56,7 +56,7 @@
         node.settings.load().vm
     );
     node.leaving.send_replace(true);
-    lock(&node.quotas).leave();
+    lock(&node.quotas).mark_leaving();
     heartbeat::send_once(node, peers, Reach::Fleet).await;
     tokio::spawn(store::delist(Arc::clone(node)));
 }
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -768,7 +768,7 @@
         let running = members.running(now);
         let me = &node.settings.load().vm;
         members
-            .silent(ENTRY_LIFE, now)
+            .timed_out(ENTRY_LIFE, now)
             .map(|member| member.vm.clone())
             .filter(|vm| rendezvous::owner(vm.as_str(), running.iter()) == Some(me))
             .collect()
--- a/crates/filbertgrade/src/process/node/tokens.rs
+++ b/crates/filbertgrade/src/process/node/tokens.rs
@@ -101,7 +101,7 @@
         let request = match step {
             Admission::Admitted => return Ok(()),
             Admission::Refused(after) => return Err(after),
-            Admission::Ask(request) => request,
+            Admission::RequestTokens(request) => request,
         };
         let grant = match address(node, &request.holder) {
             Some(address) => node.tokens.ask(address, &request).await,
@@ -109,12 +109,12 @@
         };
         let now = Instant::now();
         step = match grant {
-            Some(grant) => lock(&node.quotas).answered(request, grant, now),
+            Some(grant) => lock(&node.quotas).handle_response(request, grant, now),
             None => {
                 let holder = &request.holder;
                 log::info!("event=tokens_not_answered id={id} team={team} holder={holder}");
                 metrics::counter!("token_questions_unanswered_total").increment(1);
-                lock(&node.quotas).unanswered(request, now)
+                lock(&node.quotas).handle_timeout(request, now)
             }
         };
     }
@@ -124,7 +124,7 @@
     lock(&node.members)
         .peers()
         .find(|member| member.vm == *vm)
-        .map(|member| member.heartbeats)
+        .map(|member| member.peer_address)
 }
 
 /// Answers a question of another VM.
