--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -29,12 +29,12 @@
 use filbertgrade_coord::names::VmName;
 use filbertgrade_coord::steering::balancer::{Balancer, BalancerConfig};
 use filbertgrade_coord::steering::deployment::Deployment;
-use filbertgrade_coord::steering::evidence::StoreEvidence;
 use filbertgrade_coord::steering::members::{Heartbeat, Member, Members};
 use filbertgrade_coord::steering::quota::Quotas;
 use filbertgrade_coord::steering::registry::Registry;
 use filbertgrade_coord::steering::retry::RetryConfig;
 use filbertgrade_coord::steering::settings::Settings;
+use filbertgrade_coord::steering::store_health::StoreHealth;
 use filbertgrade_platform::settings::SettingsFault;
 use indexmap::IndexMap;
 use tokio::net::{TcpListener, UdpSocket};
@@ -132,7 +132,7 @@
     /// Token requests to other VMs.
     token_requests: TokenQuestions,
     pub(crate) members: Mutex<Members>,
-    pub(crate) store_health: Mutex<StoreEvidence>,
+    pub(crate) store_health: Mutex<StoreHealth>,
     pub(crate) suspension: Mutex<SuspensionDetector>,
     store_copy: StoreCopy,
     pub(crate) pool: Pool,
@@ -203,7 +203,7 @@
     /// keys.
     pub(crate) fn has_current_configuration(&self, now: Instant) -> bool {
         self.check_suspension();
-        lock(&self.store_health).is_within(self.max_key_age(), now)
+        lock(&self.store_health).is_confirmed_within(self.max_key_age(), now)
     }
 
     /// Age of the configuration beyond which keys are refused.
@@ -251,7 +251,7 @@
             return;
         };
         log::warn!("event=vm_suspended ms={}", time.as_millis());
-        lock(&self.store_health).forget();
+        lock(&self.store_health).clear_confirmation();
     }
 }
 
@@ -262,9 +262,9 @@
         region: settings.region.clone(),
         regions: settings.regions.clone(),
         retry: RetryConfig {
-            ratio: bounds.repeat_ratio * RETRY_BUDGET_FRACTION,
-            allowance: bounds.repeat_allowance * RETRY_BUDGET_FRACTION,
-            window: bounds.repeat_window,
+            ratio: bounds.retry_ratio * RETRY_BUDGET_FRACTION,
+            allowance: bounds.retry_allowance * RETRY_BUDGET_FRACTION,
+            window: bounds.retry_window,
         },
         shift_cap: bounds.shift_cap,
     }
@@ -281,8 +281,8 @@
     Member {
         vm: settings.vm.clone(),
         incarnation,
-        callers: settings.listen.callers,
-        heartbeats: settings.listen.peers,
+        caller_address: settings.listen.callers,
+        peer_address: settings.listen.peers,
         region: settings.region.clone(),
         failure_domain: settings.failure_domain.clone(),
     }
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::steering::evidence::Outage;
+use filbertgrade_coord::steering::store_health::Outage;
 use filbertgrade_platform::objects::Kind;
 use filbertgrade_platform::store::{Event, Object};
 use tokio::net::TcpListener;
@@ -156,7 +156,7 @@
         events: reply.events.into_iter().map(StoreEvent::from).collect(),
         hold_ms: millis(now.saturating_duration_since(received_at)),
         age_ms: millis(age),
-        outage_started_ms: outage.map(|outage| ms(outage.began_at)),
+        outage_started_ms: outage.map(|outage| ms(outage.started_at)),
         outage_ended_ms: outage.map(|outage| ms(outage.ended_at)),
     })
 }
@@ -202,8 +202,11 @@
         .outage_started_ms
         .and_then(ago)
         .zip(wire.outage_ended_ms.and_then(ago));
-    if let Some((began_at, ended_at)) = outage {
-        lock(&node.store_health).adopt(Outage { began_at, ended_at });
+    if let Some((started_at, ended_at)) = outage {
+        lock(&node.store_health).adopt_outage(Outage {
+            started_at,
+            ended_at,
+        });
     }
     // The relay held the pull for `hold_ms` before it computed the ages, so
     // this is the earliest instant that they can refer to.
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -43,7 +43,7 @@
     };
     callers::serve_requests(node, listener, &close.subscribe(), leave).await;
     let _ = close.send(true);
-    let stop_time = node.settings.load().bounds.stop_time;
+    let stop_time = node.settings.load().bounds.stop_grace;
     let remaining = stop_time.saturating_sub(ACCEPT_GRACE + KILL_MARGIN);
     if tokio::time::timeout(remaining, node.caller_connections.wait())
         .await
@@ -64,7 +64,7 @@
         node.settings.load().vm
     );
     node.leaving.send_replace(true);
-    lock(&node.quotas).leave();
+    lock(&node.quotas).mark_leaving();
     heartbeat::send_once(node, peers, Reach::Fleet).await;
     tokio::spawn(store::delist(Arc::clone(node)));
 }
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -427,7 +427,7 @@
 fn record_success(node: &Node, kind: Kind) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "ok").increment(1);
-    let outage = lock(&node.store_health).answered(Instant::now());
+    let outage = lock(&node.store_health).record_success(Instant::now());
     if let Some(outage) = outage {
         node.store_restored.send_replace(());
         log::info!(
@@ -450,7 +450,7 @@
     let failing_from = now
         .checked_sub(CALL_TIMEOUT)
         .map_or(started_at, |at| at.max(started_at));
-    if lock(&node.store_health).failed(failing_from) {
+    if lock(&node.store_health).record_failure(failing_from) {
         log::warn!(
             "event=store_lost kind={kind} error={}",
             logfmt::value(error)
@@ -619,10 +619,10 @@
     let Some(outage) = store_health.last_outage() else {
         return;
     };
-    if uptime < now.saturating_duration_since(outage.began_at) {
+    if uptime < now.saturating_duration_since(outage.started_at) {
         return;
     }
-    store_health.outage_was_own();
+    store_health.discard_local_outage();
     drop(store_health);
     log::info!("event=outage_was_own");
     if lock(&node.registry).drop_lapsed() {
@@ -844,7 +844,7 @@
         let running = members.running(now);
         let me = &node.settings.load().vm;
         members
-            .silent(ENTRY_TIMEOUT, now)
+            .timed_out(ENTRY_TIMEOUT, now)
             .map(|member| member.vm.clone())
             .filter(|vm| rendezvous::owner(vm.as_str(), running.iter()) == Some(me))
             .collect()
