--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -197,20 +197,17 @@
     async fn read_next(
         &mut self,
         node: &Node,
-        known_revision: Option<u64>,
+        revision: Option<u64>,
         wait: Duration,
     ) -> ReadOutcome {
         let now = Instant::now();
         match self.usable_relay(node, now) {
-            Some(address) => {
-                self.pull_from_relay(node, address, known_revision, wait)
-                    .await
-            }
+            Some(address) => self.pull_from_relay(node, address, revision, wait).await,
             None if is_discovering_relay(node, now) => {
-                self.discover_relay(node, known_revision, wait).await
+                self.discover_relay(node, revision, wait).await
             }
             None if self.must_wait_for_store(node) => self.wait_for_store().await,
-            None => self.call_store(node, known_revision, wait).await,
+            None => self.call_store(node, revision, wait).await,
         }
     }
 
@@ -235,12 +232,12 @@
     async fn discover_relay(
         &mut self,
         node: &Node,
-        known_revision: Option<u64>,
+        revision: Option<u64>,
         wait: Duration,
     ) -> ReadOutcome {
-        match (self.kind, known_revision) {
+        match (self.kind, revision) {
             (Kind::Configuration, None) => {
-                return self.call_store(node, known_revision, wait).await;
+                return self.call_store(node, revision, wait).await;
             }
             (_, None) => {}
             (Kind::Vms, Some(_)) => tokio::time::sleep(DISCOVERY_LIST_INTERVAL).await,
@@ -250,11 +247,7 @@
             }
         }
         match self.client.list_stale(self.kind, CALL_TIMEOUT).await {
-            Ok(list)
-                if known_revision.is_some_and(|known_revision| list.revision < known_revision) =>
-            {
-                ReadOutcome::Retry
-            }
+            Ok(list) if revision.is_some_and(|known| list.revision < known) => ReadOutcome::Retry,
             Ok(list) => ReadOutcome::Update(Update::snapshot(list, None)),
             Err(error) => {
                 let kind = self.kind.as_str();
@@ -283,7 +276,7 @@
         &mut self,
         node: &Node,
         address: SocketAddr,
-        known_revision: Option<u64>,
+        revision: Option<u64>,
         wait: Duration,
     ) -> ReadOutcome {
         let link = match &self.link {
@@ -294,7 +287,7 @@
                 &self.link.insert((address, link)).1
             }
         };
-        let pull = relay::pull(node, link, self.kind, known_revision, wait, CALL_TIMEOUT);
+        let pull = relay::pull(node, link, self.kind, revision, wait, CALL_TIMEOUT);
         let result = tokio::select! {
             result = pull => result,
             // A pull for another kind found that the relay failed.
@@ -325,7 +318,7 @@
     async fn call_store(
         &mut self,
         node: &Node,
-        known_revision: Option<u64>,
+        revision: Option<u64>,
         wait: Duration,
     ) -> ReadOutcome {
         let started_at = Instant::now();
@@ -335,18 +328,12 @@
         // Other nodes pull the kind from this one and need a recent
         // confirmation, so a copy older than one wait is confirmed by a watch
         // that returns at once.
-        let (known_revision, wait) = match age {
+        let (revision, wait) = match age {
             None => (None, wait),
-            Some(age) if age > wait => (known_revision, Duration::ZERO),
-            Some(_) => (known_revision, wait),
+            Some(age) if age > wait => (revision, Duration::ZERO),
+            Some(_) => (revision, wait),
         };
-        let call = read_store(
-            &mut self.client,
-            self.kind,
-            known_revision,
-            wait,
-            started_at,
-        );
+        let call = read_store(&mut self.client, self.kind, revision, wait, started_at);
         let result = tokio::select! {
             result = call => result,
             // The call may be stuck on a connection that broke in the outage.
@@ -388,16 +375,16 @@
     now.saturating_duration_since(node.started) < RELAY_DISCOVERY_TIME
 }
 
-/// Reads the changes after `known_revision` from the store, or the whole kind
+/// Reads the changes after `revision` from the store, or the whole kind
 /// when it is `None`.
 async fn read_store(
     client: &mut StoreClient,
     kind: Kind,
-    known_revision: Option<u64>,
+    revision: Option<u64>,
     wait: Duration,
     started_at: Instant,
 ) -> Result<Update, StoreError> {
-    let Some(revision) = known_revision else {
+    let Some(revision) = revision else {
         let list = client.list(kind, CALL_TIMEOUT).await?;
         return Ok(Update::snapshot(list, Some(started_at)));
     };
