--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -236,9 +236,7 @@
         wait: Duration,
     ) -> ReadOutcome {
         match (self.kind, revision) {
-            (Kind::Configuration, None) => {
-                return self.call_store(node, revision, wait).await;
-            }
+            (Kind::Configuration, None) => return self.call_store(node, revision, wait).await,
             (_, None) => {}
             (Kind::Vms, Some(_)) => tokio::time::sleep(DISCOVERY_LIST_INTERVAL).await,
             (_, Some(_)) => {
@@ -345,8 +343,8 @@
                 record_success(node, self.kind);
                 // The configuration is not delayed: its age decides whether
                 // the store counts as lost.
-                let collects = self.kind != Kind::Configuration;
-                if collects && !update.events.is_empty() && !update.is_snapshot {
+                let batches_changes = self.kind != Kind::Configuration;
+                if batches_changes && !update.events.is_empty() && !update.is_snapshot {
                     tokio::time::sleep(CHANGE_BATCH_DELAY).await;
                 }
                 ReadOutcome::Update(update)
@@ -375,8 +373,8 @@
     now.saturating_duration_since(node.started) < RELAY_DISCOVERY_TIME
 }
 
-/// Reads the changes after `revision` from the store, or the whole kind
-/// when it is `None`.
+/// Reads the changes after `revision` from the store, or the whole kind when it
+/// is `None`.
 async fn read_store(
     client: &mut StoreClient,
     kind: Kind,
@@ -411,6 +409,7 @@
     }
 }
 
+/// Counts an answered call, and reports the end of an outage if it ended one.
 fn record_success(node: &Node, kind: Kind) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "ok").increment(1);
@@ -424,6 +423,8 @@
     }
 }
 
+/// Counts a failed call, and logs the loss of the store if it is the first of
+/// an outage.
 fn record_failure(node: &Node, kind: Kind, started_at: Instant, error: &StoreError) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "failed").increment(1);
@@ -431,8 +432,8 @@
         log::info!("event=store_history_gone kind={kind}");
         return;
     }
-    // A watch that failed after a long wait counts as working until shortly
-    // before the failure.
+    // A watch that failed after a long wait worked before, so that the outage
+    // counts from at most `CALL_TIMEOUT` ago.
     let now = Instant::now();
     let failing_from = now
         .checked_sub(CALL_TIMEOUT)
@@ -459,15 +460,16 @@
     }
 }
 
-fn log_invalid_object(kind: Kind, name: &str, fault: &objects::ObjectFault) {
+fn log_invalid_object(kind: Kind, name: &str, error: &objects::ObjectFault) {
     log::warn!(
         "event=object_ignored kind={} name={} cause={}",
         kind.as_str(),
         logfmt::value(name),
-        logfmt::value(fault),
+        logfmt::value(error),
     );
 }
 
+/// Puts newer versions of the configuration in force.
 struct Configuration;
 
 impl Follower for Configuration {
@@ -502,10 +504,12 @@
     }
     match objects::configuration(&object.spec) {
         Ok(deployment) => put_in_force(node, deployment, revision),
-        Err(fault) => log_invalid_object(Kind::Configuration, &object.name, &fault),
+        Err(error) => log_invalid_object(Kind::Configuration, &object.name, &error),
     }
 }
 
+/// Puts a configuration in force unless its version is not newer than the one
+/// in force.
 fn put_in_force(node: &Node, deployment: Deployment, revision: u64) {
     let now = Instant::now();
     let old = node.deployment.load_full();
@@ -533,6 +537,7 @@
     node.deployment.store(Some(deployment));
 }
 
+/// Keeps the registry of endpoints and passes its endpoints to the balancer.
 struct Endpoints;
 
 impl Follower for Endpoints {
@@ -591,6 +596,7 @@
         .collect()
 }
 
+/// When the last outage of the store that this node saw ended.
 fn outage_ended_at(node: &Node) -> Option<Instant> {
     let outage = lock(&node.store_health).last_outage();
     outage.map(|outage| outage.ended_at)
@@ -600,7 +606,7 @@
 ///
 /// If this covers the last outage that this node saw, the outage was local to
 /// this VM. Registrations that disappeared were then removed on purpose rather
-/// than lapsed for want of renewal, so they are dropped at once.
+/// than lapsed because they could not be renewed, so they are dropped at once.
 pub(super) fn record_peer_store_uptime(node: &Node, uptime: Duration, now: Instant) {
     let mut store_health = lock(&node.store_health);
     let Some(outage) = store_health.last_outage() else {
@@ -619,7 +625,7 @@
 
 fn parse_registration(object: Object) -> (Arc<str>, Option<Endpoint>) {
     let endpoint = objects::endpoint(&object.name, &object.spec)
-        .inspect_err(|fault| log_invalid_object(Kind::Endpoints, &object.name, fault))
+        .inspect_err(|error| log_invalid_object(Kind::Endpoints, &object.name, error))
         .ok();
     (object.name.into(), endpoint)
 }
@@ -690,7 +696,7 @@
 
 fn parse_evacuation(name: &str) -> Option<FailureDomainName> {
     objects::evacuation(name)
-        .inspect_err(|fault| log_invalid_object(Kind::Evacuations, name, fault))
+        .inspect_err(|error| log_invalid_object(Kind::Evacuations, name, error))
         .ok()
 }
 
@@ -707,7 +713,7 @@
                 self.members
                     .insert(member.vm.clone(), (member, object.revision));
             }
-            Err(fault) => log_invalid_object(Kind::Vms, &object.name, &fault),
+            Err(error) => log_invalid_object(Kind::Vms, &object.name, &error),
         }
     }
 
--- a/crates/filbertgrade/tests/node/scene.rs
+++ b/crates/filbertgrade/tests/node/cluster.rs
@@ -1,4 +1,4 @@
-//! A store, backend servers and nodes, started for one test.
+//! Starts a store, backend servers and nodes for one test.
 
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -15,47 +15,58 @@
 use filbertgrade_standins::node::own_address;
 use filbertgrade_standins::node::store::Store;
 
-/// Longest wait for something that takes milliseconds on an idle machine.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a condition that is met within milliseconds on an idle
+/// machine.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// API key of the team `atelier`.
 pub(crate) const KEY: &str = "key-of-atelier";
 
-/// Ports of every node; each node has an address of its own.
+/// Ports of every node for callers, look-ups, readiness, peers and metrics. All
+/// nodes use the same ports, each on its own loopback address.
 const PORTS: [u16; 5] = [8_000, 8_001, 8_002, 8_003, 8_004];
 
-pub(crate) struct Scene {
+/// A store, endpoints and nodes of one region.
+pub(crate) struct TestCluster {
     pub(crate) store: Store,
     pub(crate) endpoints: Vec<Endpoint>,
     pub(crate) nodes: Vec<Node>,
+    /// Number of the newest version of the configuration.
     version: u64,
 }
 
+/// A node that runs as a process of its own.
 pub(crate) struct Node {
     pub(crate) name: String,
     pub(crate) callers: SocketAddr,
     pub(crate) lookups: SocketAddr,
     pub(crate) ready: SocketAddr,
     child: Child,
+    /// Log lines so far.
     lines: Arc<Mutex<Vec<String>>>,
-    _settings: TempDir,
+    /// Holds the settings file; deleted with the node.
+    _settings_dir: TempDir,
 }
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct TestResponse {
     pub(crate) status: u16,
+    /// Status line and headers in lower case.
     pub(crate) head: String,
     pub(crate) body: String,
-    /// The body has the length that was announced.
-    pub(crate) whole: bool,
+    /// The body has the length that `content-length` announced.
+    pub(crate) is_complete: bool,
 }
 
-impl Scene {
-    /// Starts endpoints with the given work times, and one node.
+impl TestCluster {
+    /// Starts one endpoint for each work time in milliseconds, and one node.
     pub(crate) async fn start(work_ms: &[u64]) -> Self {
         Self::with_nodes(work_ms, 1).await
     }
 
+    /// Starts one endpoint for each work time in milliseconds, and `nodes`
+    /// nodes; returns when all nodes are ready.
     pub(crate) async fn with_nodes(work_ms: &[u64], nodes: usize) -> Self {
         let store = Store::start().await.unwrap();
         let mut endpoints = Vec::new();
@@ -67,27 +78,28 @@
                     .unwrap(),
             );
         }
-        let mut scene = Self {
+        let mut cluster = Self {
             store,
             endpoints,
             nodes: Vec::new(),
             version: 0,
         };
-        for endpoint in &scene.endpoints {
-            scene.register(endpoint, "ready");
+        for endpoint in &cluster.endpoints {
+            cluster.register(endpoint, "ready");
         }
-        scene.configure(|_| {});
+        cluster.configure(|_| {});
         for n in 0..nodes {
-            scene
+            cluster
                 .nodes
-                .push(Node::start(&format!("vm-{n}"), scene.store.address).await);
+                .push(Node::start(&format!("vm-{n}"), cluster.store.address).await);
         }
-        for node in &scene.nodes {
+        for node in &cluster.nodes {
             node.wait_ready().await;
         }
-        scene
+        cluster
     }
 
+    /// Writes the registration of an endpoint to the store.
     pub(crate) fn register(&self, endpoint: &Endpoint, state: &str) {
         let spec = json!({"service": "charts", "address": endpoint.address.to_string(), "zone": "north-a",
                           "version": "v1", "slots": 3, "state": state, "cold-remaining-s": 0, "seq-no": 1, "born": 5});
@@ -99,7 +111,8 @@
         self.version
     }
 
-    /// Puts the next version of the configuration in force.
+    /// Writes the next version of the configuration to the store: a default
+    /// one, modified by `change`.
     pub(crate) fn configure(&mut self, change: impl FnOnce(&mut Value)) {
         self.version += 3;
         let route = |name: &str, kind: &str, public: bool| {
@@ -118,15 +131,16 @@
         self.store.put("config", "main", spec);
     }
 
-    /// Requests that endpoints ran, of all endpoints.
-    pub(crate) fn ran(&self) -> usize {
+    /// Number of requests that all endpoints together have run.
+    pub(crate) fn requests_run(&self) -> usize {
         self.endpoints
             .iter()
             .map(|endpoint| endpoint.ran().len())
             .sum()
     }
 
-    pub(crate) async fn get(&self, route: &str, id: &str) -> Answer {
+    /// Sends a GET request with the key of `atelier` to the first node.
+    pub(crate) async fn get(&self, route: &str, id: &str) -> TestResponse {
         self.nodes[0].request("GET", route, id, Some(KEY)).await
     }
 }
@@ -157,11 +171,11 @@
             .spawn()
             .unwrap();
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-        let reading = Arc::clone(&lines);
-        let mut out = BufReader::new(child.stdout.take().unwrap()).lines();
+        let collected_lines = Arc::clone(&lines);
+        let mut stdout = BufReader::new(child.stdout.take().unwrap()).lines();
         tokio::spawn(async move {
-            while let Ok(Some(line)) = out.next_line().await {
-                reading.lock().unwrap().push(line);
+            while let Ok(Some(line)) = stdout.next_line().await {
+                collected_lines.lock().unwrap().push(line);
             }
         });
         Self {
@@ -171,17 +185,18 @@
             ready: address(ready),
             child,
             lines,
-            _settings: dir,
+            _settings_dir: dir,
         }
     }
 
+    /// Sends a request to this node, on a connection of its own.
     pub(crate) async fn request(
         &self,
         method: &str,
         route: &str,
         id: &str,
         key: Option<&str>,
-    ) -> Answer {
+    ) -> TestResponse {
         let key = key.map_or(String::new(), |key| {
             format!("authorization: Bearer {key}\r\n")
         });
@@ -196,26 +211,26 @@
         let head = "GET /-/ready HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
         exchange(self.ready, head)
             .await
-            .is_ok_and(|answer| answer.status == 200)
+            .is_ok_and(|response| response.status == 200)
     }
 
     async fn wait_ready(&self) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !self.is_ready().await {
             assert!(
-                began.elapsed() < PATIENCE,
-                "{} does not become ready",
+                started_at.elapsed() < CONDITION_TIMEOUT,
+                "{} did not become ready",
                 self.name
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Callers' addresses that a look-up names.
+    /// Addresses for callers that a look-up at this node returns.
     pub(crate) async fn look_up(&self) -> Vec<String> {
         let head = "GET /-/resolve?name=a&region=north&zone=north-a HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
-        let answer = exchange(self.lookups, head).await.unwrap();
-        let body: Value = serde_json::from_str(&answer.body).unwrap();
+        let response = exchange(self.lookups, head).await.unwrap();
+        let body: Value = serde_json::from_str(&response.body).unwrap();
         let list = body["addrs"].as_array().unwrap();
         list.iter()
             .map(|address| address.as_str().unwrap().to_owned())
@@ -228,14 +243,15 @@
         rustix::process::kill_process(rustix::process::Pid::from_raw(id).unwrap(), signal).unwrap();
     }
 
-    /// Waits until the process has ended, and tells whether it ended well.
-    pub(crate) async fn ended(&mut self) -> bool {
+    /// Waits until the process has ended. Returns true when its exit status was
+    /// zero.
+    pub(crate) async fn wait_for_exit(&mut self) -> bool {
         self.child.wait().await.unwrap().success()
     }
 
-    /// Waits for a log line that holds all parts.
+    /// Waits for a log line that contains all `parts`, and returns it.
     pub(crate) async fn line_with(&self, parts: &[&str]) -> String {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let lines = self.lines.lock().unwrap().clone();
             if let Some(line) = lines
@@ -245,7 +261,7 @@
                 return line.clone();
             }
             assert!(
-                began.elapsed() < PATIENCE,
+                started_at.elapsed() < CONDITION_TIMEOUT,
                 "no line with {parts:?} in:\n{}",
                 lines.join("\n")
             );
@@ -253,29 +269,35 @@
         }
     }
 
+    /// All log lines so far.
     pub(crate) fn log(&self) -> String {
         self.lines.lock().unwrap().join("\n")
     }
 }
 
-/// Waits until `check` holds.
+/// Waits until `check` returns true, and returns the time that this took.
+/// Panics with `what` after [`CONDITION_TIMEOUT`].
 pub(crate) async fn eventually<F: Future<Output = bool>>(
     what: &str,
     check: impl Fn() -> F,
 ) -> Duration {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !check().await {
-        assert!(began.elapsed() < PATIENCE, "not in time: {what}");
+        assert!(
+            started_at.elapsed() < CONDITION_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    began.elapsed()
+    started_at.elapsed()
 }
 
-async fn exchange(address: SocketAddr, head: &str) -> std::io::Result<Answer> {
+/// Sends a request and reads the response until the connection is closed.
+async fn exchange(address: SocketAddr, head: &str) -> std::io::Result<TestResponse> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(head.as_bytes()).await?;
     let mut bytes = Vec::new();
-    // A connection that is reset may have delivered a part.
+    // A connection that was reset may have delivered part of the response.
     let _ = stream.read_to_end(&mut bytes).await;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -286,9 +308,9 @@
         .and_then(|s| s.parse().ok())
         .unwrap_or(0);
     let length = filbertgrade_standins::node::endpoint::header(&head, "content-length");
-    Ok(Answer {
+    Ok(TestResponse {
         status,
-        whole: length.parse() == Ok(body.len()),
+        is_complete: length.parse() == Ok(body.len()),
         body: body.to_owned(),
         head,
     })
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -1,29 +1,29 @@
-//! Changes in the store, and a store that fails.
+//! Changes in the store, and outages of the store.
 
 use std::time::Duration;
 
 use rstest::rstest;
 use serde_json::json;
 
-use crate::scene::{Scene, eventually};
+use crate::cluster::{TestCluster, eventually};
 use filbertgrade_standins::node::store::Trouble;
 
-/// Time in which users ask for a change to be in force.
-const IN_FORCE: Duration = Duration::from_millis(2_500);
+/// Required time for a change to take effect.
+const CHANGE_TIME_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// Guards against withdrawn keys that work on, and added ones that do not.
+/// Guards against withdrawn keys that still work and new keys that do not.
 #[tokio::test]
-async fn keys_take_effect_while_callers_are_connected() {
-    let mut scene = Scene::start(&[1]).await;
-    assert_eq!(scene.get("safe", "a1").await.status, 200);
-    scene.configure(|spec| spec["tenants"][0]["api-keys"] = json!(["new"]));
-    let took = eventually("old key refused", || async {
-        scene.get("safe", "a2").await.status == 401
+async fn key_changes_take_effect_in_a_running_node() {
+    let mut cluster = TestCluster::start(&[1]).await;
+    assert_eq!(cluster.get("safe", "a1").await.status, 200);
+    cluster.configure(|spec| spec["tenants"][0]["api-keys"] = json!(["new"]));
+    let elapsed = eventually("the old key is refused", || async {
+        cluster.get("safe", "a2").await.status == 401
     })
     .await;
-    assert!(took < IN_FORCE, "{took:?}");
+    assert!(elapsed < CHANGE_TIME_LIMIT, "{elapsed:?}");
     assert_eq!(
-        scene.nodes[0]
+        cluster.nodes[0]
             .request("GET", "safe", "a3", Some("new"))
             .await
             .status,
@@ -31,103 +31,107 @@
     );
 }
 
-/// Guards against a key that works on because the store cannot tell that it was
-/// withdrawn, and against public routes that fail with the store.
+/// Guards against keys that are accepted during an outage of the store, in
+/// which a withdrawal would go unnoticed, and against public routes that fail
+/// in it.
 #[rstest]
 #[case(Trouble::Silent)]
 #[case(Trouble::Busy)]
 #[tokio::test]
-async fn keys_are_refused_when_the_store_is_away(#[case] trouble: Trouble) {
-    let scene = Scene::start(&[1]).await;
-    assert_eq!(scene.get("safe", "b1").await.status, 200);
-    scene.store.set_trouble(trouble);
-    let took = eventually("key refused", || async {
-        scene.get("safe", "b2").await.status == 503
+async fn keys_are_refused_while_the_store_is_unavailable(#[case] trouble: Trouble) {
+    let cluster = TestCluster::start(&[1]).await;
+    assert_eq!(cluster.get("safe", "b1").await.status, 200);
+    cluster.store.set_trouble(trouble);
+    let elapsed = eventually("the key is refused", || async {
+        cluster.get("safe", "b2").await.status == 503
     })
     .await;
-    assert!(took < Duration::from_secs(5), "{took:?}");
-    let line = scene.nodes[0].line_with(&["event=refused", "id=b2"]).await;
+    assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
+    let line = cluster.nodes[0]
+        .line_with(&["event=refused", "id=b2"])
+        .await;
     assert!(line.contains("cause=isolated outcome=not_run"), "{line}");
-    scene.nodes[0].line_with(&["event=store_lost"]).await;
+    cluster.nodes[0].line_with(&["event=store_lost"]).await;
     assert_eq!(
-        scene.nodes[0]
+        cluster.nodes[0]
             .request("GET", "open", "b3", None)
             .await
             .status,
         200
     );
-    scene.store.set_trouble(Trouble::None);
-    let took = eventually("key works", || async {
-        scene.get("safe", "b4").await.status == 200
+    cluster.store.set_trouble(Trouble::None);
+    let elapsed = eventually("the key is accepted", || async {
+        cluster.get("safe", "b4").await.status == 200
     })
     .await;
-    assert!(took < IN_FORCE, "{took:?}");
-    scene.nodes[0].line_with(&["event=store_regained"]).await;
+    assert!(elapsed < CHANGE_TIME_LIMIT, "{elapsed:?}");
+    cluster.nodes[0].line_with(&["event=store_regained"]).await;
 }
 
-/// Guards against versions that go back, and against a configuration that is
-/// broken and takes effect or stops others.
+/// Guards against a node that applies an older or malformed configuration, or
+/// that a malformed one keeps from applying later ones.
 #[tokio::test]
-async fn older_and_broken_versions_are_ignored() {
-    let mut scene = Scene::start(&[1]).await;
-    scene
+async fn older_and_malformed_configurations_are_ignored() {
+    let mut cluster = TestCluster::start(&[1]).await;
+    cluster
         .store
         .put("config", "main", json!({"version": "r1", "routes": []}));
-    scene.store.put(
+    cluster.store.put(
         "config",
         "main",
         json!({"version": "r900", "routes": "none"}),
     );
-    scene
+    cluster
         .store
         .put("config", "other", json!({"version": "r901", "routes": []}));
-    scene.nodes[0]
+    cluster.nodes[0]
         .line_with(&["event=object_ignored", "kind=config"])
         .await;
-    assert_eq!(scene.get("safe", "c1").await.status, 200);
-    scene.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
-    eventually("moved", || async {
-        scene.get("moved", "c2").await.status == 200
+    assert_eq!(cluster.get("safe", "c1").await.status, 200);
+    cluster.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
+    eventually("the route has moved", || async {
+        cluster.get("moved", "c2").await.status == 200
     })
     .await;
-    assert_eq!(scene.get("safe", "c3").await.status, 404);
+    assert_eq!(cluster.get("safe", "c3").await.status, 404);
 }
 
-/// Guards against a node that stays behind when the store forgets its history.
+/// Guards against a node that misses changes because the store has discarded
+/// its history.
 #[tokio::test]
-async fn forgotten_history_is_read_anew() {
-    let mut scene = Scene::start(&[1]).await;
-    scene.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
-    scene.store.forget_history();
-    eventually("moved", || async {
-        scene.get("moved", "d1").await.status == 200
+async fn all_objects_are_read_again_after_the_store_discards_its_history() {
+    let mut cluster = TestCluster::start(&[1]).await;
+    cluster.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
+    cluster.store.forget_history();
+    eventually("the route has moved", || async {
+        cluster.get("moved", "d1").await.status == 200
     })
     .await;
 }
 
-/// Guards against requests to endpoints that leave, are gone, or were entered
-/// by another writer.
+/// Guards against requests to endpoints that are draining, removed or
+/// evacuated, or whose registration is malformed.
 #[rstest]
 #[case::draining("draining")]
 #[case::removed("removed")]
-#[case::broken("broken")]
+#[case::malformed("malformed")]
 #[case::evacuated("evacuated")]
 #[tokio::test]
-async fn endpoint_that_leaves_gets_nothing(#[case] how: &str) {
-    let scene = Scene::start(&[1]).await;
-    assert_eq!(scene.get("safe", "e1").await.status, 200);
-    match how {
-        "draining" => scene.register(&scene.endpoints[0], "draining"),
-        "removed" => assert!(scene.store.remove("servers", "i-0")),
-        "broken" => scene.store.put("servers", "i-0", json!({"state": 5})),
-        _ => scene.store.put("evacuations", "north-a", json!({})),
+async fn unavailable_endpoint_receives_no_requests(#[case] reason: &str) {
+    let cluster = TestCluster::start(&[1]).await;
+    assert_eq!(cluster.get("safe", "e1").await.status, 200);
+    match reason {
+        "draining" => cluster.register(&cluster.endpoints[0], "draining"),
+        "removed" => assert!(cluster.store.remove("servers", "i-0")),
+        "malformed" => cluster.store.put("servers", "i-0", json!({"state": 5})),
+        _ => cluster.store.put("evacuations", "north-a", json!({})),
     }
-    let took = eventually("refused", || async {
-        scene.get("safe", "e2").await.status == 503
+    let elapsed = eventually("requests are refused", || async {
+        cluster.get("safe", "e2").await.status == 503
     })
     .await;
-    assert!(took < IN_FORCE, "{took:?}");
-    let ran = scene.ran();
-    scene.get("safe", "e3").await;
-    assert_eq!(scene.ran(), ran);
+    assert!(elapsed < CHANGE_TIME_LIMIT, "{elapsed:?}");
+    let ran = cluster.requests_run();
+    cluster.get("safe", "e3").await;
+    assert_eq!(cluster.requests_run(), ran);
 }
--- a/crates/filbertgrade/tests/node/main.rs
+++ b/crates/filbertgrade/tests/node/main.rs
@@ -1,14 +1,14 @@
-//! The node as a real process, against stand-ins for the platform's store and
-//! for backend servers.
+//! Tests of nodes as real processes, with stand-ins for the platform's store
+//! and for backend servers.
 
 #![expect(
     clippy::unwrap_used,
     reason = "a set-up step that fails must fail the test"
 )]
 
+mod cluster;
 mod configuration;
 mod explain;
 mod fleet;
 mod requests;
-mod scene;
 mod stop;
--- a/crates/filbertgrade/tests/node/requests.rs
+++ b/crates/filbertgrade/tests/node/requests.rs
@@ -1,67 +1,69 @@
-//! What callers and backend servers see of single requests.
+//! Single requests, as callers and backend servers see them.
 
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
 
-use crate::scene::{KEY, Scene};
+use crate::cluster::{KEY, TestCluster};
 use filbertgrade_standins::node::endpoint::{Conduct, header};
 
 /// Guards against a request that reaches a backend server with the caller's
-/// key, without its team, or for another endpoint.
+/// key, without its team, or with the name of another endpoint.
 #[tokio::test]
-async fn request_is_served_for_its_team() {
-    let scene = Scene::start(&[10]).await;
-    let answer = scene.get("safe", "a1").await;
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.body, "answer of i-0 to a1");
-    assert_eq!(header(&answer.head, "x-filbertgrade-server-seal"), "s");
-    let head = scene.endpoints[0].ran().remove(0);
+async fn request_is_forwarded_with_its_team_and_without_its_key() {
+    let cluster = TestCluster::start(&[10]).await;
+    let response = cluster.get("safe", "a1").await;
+    assert_eq!((response.status, response.is_complete), (200, true));
+    assert_eq!(response.body, "answer of i-0 to a1");
+    assert_eq!(header(&response.head, "x-filbertgrade-server-seal"), "s");
+    let head = cluster.endpoints[0].ran().remove(0);
     assert!(!head.contains(KEY));
     assert_eq!(header(&head, "x-filbertgrade-tenant"), "atelier");
     assert_eq!(header(&head, "x-filbertgrade-expected-instance"), "i-0");
-    let left: u64 = header(&head, "x-filbertgrade-deadline-ms").parse().unwrap();
+    let deadline_ms: u64 = header(&head, "x-filbertgrade-deadline-ms").parse().unwrap();
     assert!(
-        (1_000..=2_200).contains(&left),
-        "{left} ms of the route's 2 s"
+        (1_000..=2_200).contains(&deadline_ms),
+        "{deadline_ms} ms of the route's 2 s"
     );
 }
 
-/// Guards against requests that run without the right to, and log lines that
-/// do not tell why a request was refused.
+/// Guards against unauthorized requests that run, and against log lines that do
+/// not give the cause of a refusal.
 #[rstest]
 #[case::no_key("safe", None, 401, "key_missing")]
 #[case::unknown_key("safe", Some("other"), 401, "key_refused")]
 #[case::no_route("nowhere", Some(KEY), 404, "unknown_route")]
 #[tokio::test]
-async fn request_without_a_right_is_refused(
+async fn request_without_valid_key_or_route_is_refused(
     #[case] route: &str,
     #[case] key: Option<&str>,
     #[case] status: u16,
     #[case] cause: &str,
 ) {
-    let scene = Scene::start(&[10]).await;
-    let answer = scene.nodes[0].request("GET", route, "b1", key).await;
-    assert_eq!(answer.status, status);
-    assert_eq!(scene.ran(), 0);
-    let line = scene.nodes[0].line_with(&["event=refused", "id=b1"]).await;
+    let cluster = TestCluster::start(&[10]).await;
+    let response = cluster.nodes[0].request("GET", route, "b1", key).await;
+    assert_eq!(response.status, status);
+    assert_eq!(cluster.requests_run(), 0);
+    let line = cluster.nodes[0]
+        .line_with(&["event=refused", "id=b1"])
+        .await;
     assert!(
         line.contains(&format!("cause={cause} outcome=not_run")),
         "{line}"
     );
-    assert!(!scene.nodes[0].log().contains(KEY));
+    assert!(!cluster.nodes[0].log().contains(KEY));
 }
 
-/// Guards against a public route that asks for a key.
+/// Guards against a public route that requires a key.
 #[tokio::test]
 async fn public_route_needs_no_key() {
-    let scene = Scene::start(&[10]).await;
-    let answer = scene.nodes[0].request("GET", "open", "c1", None).await;
-    assert_eq!(answer.status, 200);
+    let cluster = TestCluster::start(&[10]).await;
+    let response = cluster.nodes[0].request("GET", "open", "c1", None).await;
+    assert_eq!(response.status, 200);
 }
 
-/// Guards against orders that run twice, and callers who are told that an order
-/// did not run although it may have.
+/// Guards against a non-idempotent request that runs twice, and against a
+/// response which says that it did not run although it may have.
 #[rstest]
 #[case::lost(Conduct::LosesAnswer, 502)]
 #[case::crossed(Conduct::CrossesAnswers, 502)]
@@ -70,23 +72,27 @@
 #[case::silent(Conduct::Silent, 504)]
 #[case::failed(Conduct::Fails, 500)]
 #[tokio::test]
-async fn order_runs_at_most_once(#[case] conduct: Conduct, #[case] status: u16) {
-    let scene = Scene::start(&[10, 10]).await;
-    scene.endpoints.iter().for_each(|e| e.conduct(conduct));
-    let answer = scene.nodes[0]
+async fn non_idempotent_request_runs_at_most_once(#[case] conduct: Conduct, #[case] status: u16) {
+    let cluster = TestCluster::start(&[10, 10]).await;
+    cluster.endpoints.iter().for_each(|e| e.conduct(conduct));
+    let response = cluster.nodes[0]
         .request("POST", "order", "d1", Some(KEY))
         .await;
-    assert_eq!(answer.status, status);
-    assert_eq!(scene.ran(), 1);
+    assert_eq!(response.status, status);
+    assert_eq!(cluster.requests_run(), 1);
     if conduct != Conduct::Fails {
-        let line = scene.nodes[0].line_with(&["event=refused", "id=d1"]).await;
+        let line = cluster.nodes[0]
+            .line_with(&["event=refused", "id=d1"])
+            .await;
         assert!(line.contains("outcome=unknown"), "{line}");
-        scene.nodes[0].line_with(&["event=attempt", "id=d1"]).await;
+        cluster.nodes[0]
+            .line_with(&["event=attempt", "id=d1"])
+            .await;
     }
 }
 
-/// Guards against look-ups that fail although another endpoint would serve
-/// them.
+/// Guards against idempotent requests that fail although another endpoint would
+/// serve them.
 #[rstest]
 #[case::refused(Conduct::Refuses)]
 #[case::lost(Conduct::LosesAnswer)]
@@ -97,73 +103,77 @@
 #[case::failed(Conduct::Fails)]
 #[case::another(Conduct::IsAnother)]
 #[tokio::test]
-async fn idempotent_request_is_sent_elsewhere(#[case] conduct: Conduct) {
-    let scene = Scene::start(&[10, 10]).await;
-    let first = scene.get("safe", "e0").await;
-    let home = usize::from(first.body.contains("i-1"));
-    scene.endpoints[home].conduct(conduct);
-    let answer = scene.get("safe", "e1").await;
-    assert_eq!((answer.status, answer.whole), (200, true));
-    assert_eq!(answer.body, format!("answer of i-{} to e1", 1 - home));
+async fn idempotent_request_is_retried_on_another_endpoint(#[case] conduct: Conduct) {
+    let cluster = TestCluster::start(&[10, 10]).await;
+    let first = cluster.get("safe", "e0").await;
+    let first_endpoint = usize::from(first.body.contains("i-1"));
+    cluster.endpoints[first_endpoint].conduct(conduct);
+    let response = cluster.get("safe", "e1").await;
+    assert_eq!((response.status, response.is_complete), (200, true));
+    assert_eq!(
+        response.body,
+        format!("answer of i-{} to e1", 1 - first_endpoint)
+    );
 }
 
-/// Guards against orders that fail although an endpoint said that it did not
-/// run them.
+/// Guards against a non-idempotent request that fails although the endpoint
+/// confirmed that it did not run it, so that another one could.
 #[rstest]
 #[case(Conduct::Refuses)]
 #[case(Conduct::IsAnother)]
 #[tokio::test]
-async fn refused_order_is_sent_elsewhere(#[case] conduct: Conduct) {
-    let scene = Scene::start(&[10, 10]).await;
-    let first = scene.get("safe", "f0").await;
-    let home = usize::from(first.body.contains("i-1"));
-    scene.endpoints[home].conduct(conduct);
-    let answer = scene.nodes[0]
+async fn refused_non_idempotent_request_is_retried_on_another_endpoint(#[case] conduct: Conduct) {
+    let cluster = TestCluster::start(&[10, 10]).await;
+    let first = cluster.get("safe", "f0").await;
+    let first_endpoint = usize::from(first.body.contains("i-1"));
+    cluster.endpoints[first_endpoint].conduct(conduct);
+    let response = cluster.nodes[0]
         .request("POST", "order", "f1", Some(KEY))
         .await;
-    assert_eq!(answer.status, 200);
-    assert_eq!(scene.ran(), 2);
+    assert_eq!(response.status, 200);
+    assert_eq!(cluster.requests_run(), 2);
 }
 
-/// Guards against callers who wait for nothing, and are not told when to come
-/// back.
+/// Guards against a response that is delayed although all endpoints refused the
+/// request, or that lacks the time after which the caller may retry.
 #[tokio::test]
-async fn refusal_by_all_endpoints_is_told_at_once() {
-    let scene = Scene::start(&[10, 10]).await;
-    scene
+async fn refusal_by_all_endpoints_is_returned_at_once() {
+    let cluster = TestCluster::start(&[10, 10]).await;
+    cluster
         .endpoints
         .iter()
         .for_each(|e| e.conduct(Conduct::Refuses));
-    let began = Instant::now();
-    let answer = scene.nodes[0]
+    let sent_at = Instant::now();
+    let response = cluster.nodes[0]
         .request("POST", "order", "g1", Some(KEY))
         .await;
-    assert!(began.elapsed() < Duration::from_millis(1_000));
-    assert_eq!(answer.status, 503);
-    let after: f64 = header(&answer.head, "retry-after").parse().unwrap();
-    assert!(after > 0.0 && after <= 1.0);
-    assert_eq!(scene.ran(), 0);
+    assert!(sent_at.elapsed() < Duration::from_millis(1_000));
+    assert_eq!(response.status, 503);
+    let retry_after: f64 = header(&response.head, "retry-after").parse().unwrap();
+    assert!(retry_after > 0.0 && retry_after <= 1.0);
+    assert_eq!(cluster.requests_run(), 0);
 }
 
-/// Guards against work that goes on for a caller who has left.
+/// Guards against a request that runs although its announced body exceeds the
+/// limit, and against a refusal that waits for the body.
 #[tokio::test]
 async fn body_over_the_limit_is_refused() {
-    let scene = Scene::start(&[10]).await;
-    let mut head = format!(
+    let cluster = TestCluster::start(&[10]).await;
+    let mut request = format!(
         "POST /order/1 HTTP/1.1\r\nhost: shop.example\r\nx-filbertgrade-request-id: h1\r\n\
          authorization: Bearer {KEY}\r\ncontent-length: 200000\r\nconnection: close\r\n\r\n"
     );
-    head.push('x');
-    let mut stream = tokio::net::TcpStream::connect(scene.nodes[0].callers)
+    request.push('x');
+    let mut stream = tokio::net::TcpStream::connect(cluster.nodes[0].callers)
         .await
         .unwrap();
-    tokio::io::AsyncWriteExt::write_all(&mut stream, head.as_bytes())
+    tokio::io::AsyncWriteExt::write_all(&mut stream, request.as_bytes())
         .await
         .unwrap();
-    let mut answer = [0; 12];
-    tokio::io::AsyncReadExt::read_exact(&mut stream, &mut answer)
+    let mut status_line = [0; 12];
+    tokio::io::AsyncReadExt::read_exact(&mut stream, &mut status_line)
         .await
         .unwrap();
-    assert_eq!(&answer, b"HTTP/1.1 413");
-    assert_eq!(scene.ran(), 0);
+    assert_eq!(&status_line, b"HTTP/1.1 413");
+    assert_eq!(cluster.requests_run(), 0);
 }
