--- a/crates/filbertgrade/src/process/node/copy.rs
+++ b/crates/filbertgrade/src/process/node/copy.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Applies an update, unless it is older than the copy, and notifies the
-    /// pulls that wait.
+    /// Records the confirmation that an update carries, applies its objects or
+    /// changes unless they are older than the copy, and notifies waiting pulls.
     pub(super) fn apply(&mut self, update: &Update) {
         if update.confirmed_at > self.confirmed_at {
             self.confirmed_at = update.confirmed_at;
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -71,8 +71,9 @@
 /// rest covers VMs that divide a rate at different instants.
 const RATE_ALLOWANCE_FRACTION: f64 = 0.5;
 
-/// How long after the start requests wait for the first read of the store. The
-/// read takes some milliseconds, and longer when all nodes start at once.
+/// Time after the start until which requests wait for the first read of the
+/// store. The read takes some milliseconds, and longer when all nodes start at
+/// once.
 const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Interval of the checks for expired connections, lapsed registrations, and
@@ -139,7 +140,7 @@
     pub(crate) body_budget: BodyBudget,
     /// Open connections of callers.
     pub(crate) caller_connections: Tasks,
-    /// Requests that are being forwarded.
+    /// Requests that are being handled.
     pub(crate) running_requests: Tasks,
     /// True once the process has received a signal to stop.
     leaving: watch::Sender<bool>,
@@ -148,7 +149,8 @@
     store_read: watch::Sender<()>,
     /// Notified when the store answers again after an outage.
     store_restored: watch::Sender<()>,
-    /// Relays from which a pull has failed, with the time of the last failure.
+    /// Relays from which a pull has failed recently, with the time of the
+    /// failure.
     failed_relays: watch::Sender<IndexMap<SocketAddr, Instant>>,
     /// Number of the next heartbeat.
     next_heartbeat: AtomicU64,
