--- a/crates/filbertgrade/src/connection/backend.rs
+++ b/crates/filbertgrade/src/connection/backend.rs
@@ -13,11 +13,11 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-use super::watched::{ByteCount, WatchedIo};
+use super::counting::{ByteCount, CountingIo};
 
 /// How long a whole answer proves that a connection is alive. It bounds how
 /// old the proof under a non-idempotent request may be.
-pub const PROOF_AGE: Duration = Duration::from_secs(1);
+pub const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
 /// Time for an answered connection to become ready for the next request,
 /// which takes one turn of its task.
@@ -52,7 +52,7 @@
 /// No request runs, and the connection is new or just delivered a whole
 /// answer.
 #[derive(Debug)]
-pub struct Proven {
+pub struct Verified {
     at: Instant,
     reused: bool,
 }
@@ -78,7 +78,7 @@
     stopped: oneshot::Receiver<()>,
 }
 
-impl Connection<Proven> {
+impl Connection<Verified> {
     /// Opens a connection. `held` is dropped after the connection is closed.
     ///
     /// # Errors
@@ -90,7 +90,7 @@
         held: H,
     ) -> std::io::Result<Self> {
         let stream = super::connect(endpoint, Some(local)).await?;
-        let io = WatchedIo::new(stream);
+        let io = CountingIo::new(stream);
         let count = io.count();
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_ANSWER_HEAD)
@@ -103,7 +103,7 @@
             sender,
             driver,
             count,
-            state: Proven {
+            state: Verified {
                 at: Instant::now(),
                 reused: false,
             },
@@ -132,15 +132,19 @@
 }
 
 impl Connection<Idle> {
-    /// The connection, if its last proof of life is at most `proof_age` old.
+    /// The connection, if its last proof of life is at most `max_verified_age` old.
     ///
     /// # Errors
     ///
     /// Gives it back when the proof is too old.
-    pub fn proven(self, now: Instant, proof_age: Duration) -> Result<Connection<Proven>, Self> {
+    pub fn proven(
+        self,
+        now: Instant,
+        max_verified_age: Duration,
+    ) -> Result<Connection<Verified>, Self> {
         let at = self.state.proven_at;
-        if now.saturating_duration_since(at) <= proof_age {
-            Ok(self.with(Proven { at, reused: true }))
+        if now.saturating_duration_since(at) <= max_verified_age {
+            Ok(self.with(Verified { at, reused: true }))
         } else {
             Err(self)
         }
@@ -176,7 +180,7 @@
     }
 
     /// Closes the connection, and returns when it is closed.
-    pub async fn close_idle(mut self) {
+    pub async fn close(mut self) {
         self.driver.stop().await;
     }
 
@@ -203,7 +207,7 @@
 
     /// At least one byte of the request left so far.
     #[must_use]
-    pub fn has_byte_left(&self) -> bool {
+    pub fn has_sent_bytes(&self) -> bool {
         self.count.sent() > self.state.mark
     }
 
@@ -215,8 +219,8 @@
 
     /// The whole answer arrived, which proves the connection alive.
     #[must_use]
-    pub fn finish(self, now: Instant) -> Connection<Proven> {
-        self.with(Proven {
+    pub fn finish(self, now: Instant) -> Connection<Verified> {
+        self.with(Verified {
             at: now,
             reused: true,
         })
@@ -226,7 +230,7 @@
     pub async fn close(mut self) -> bool {
         // Only when the task has ended can no further byte leave.
         self.driver.stop().await;
-        self.has_byte_left()
+        self.has_sent_bytes()
     }
 }
 
@@ -250,7 +254,7 @@
 
 impl Driver {
     fn spawn<H: Send + 'static>(
-        mut connection: http1::Connection<TokioIo<WatchedIo<TcpStream>>, RequestBody>,
+        mut connection: http1::Connection<TokioIo<CountingIo<TcpStream>>, RequestBody>,
         held: H,
     ) -> Self {
         let (close, closing) = oneshot::channel::<()>();
@@ -281,7 +285,7 @@
 
 /// Closes a connection, and waits until the backend server did the same,
 /// because it counts the connection until then.
-async fn linger(mut io: WatchedIo<TcpStream>) {
+async fn linger(mut io: CountingIo<TcpStream>) {
     let closing = async {
         io.shutdown().await?;
         let mut rest = [0_u8; 4096];
--- a/crates/filbertgrade/src/connection/watched.rs
+++ b/crates/filbertgrade/src/connection/counting.rs
@@ -16,7 +16,7 @@
 
 /// I/O that counts the bytes that left.
 #[derive(Debug)]
-pub struct WatchedIo<T> {
+pub struct CountingIo<T> {
     io: T,
     count: ByteCount,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-impl<T> WatchedIo<T> {
+impl<T> CountingIo<T> {
     /// Watches `io`.
     pub fn new(io: T) -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for WatchedIo<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for CountingIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -59,7 +59,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for WatchedIo<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for CountingIo<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/filbertgrade/src/connection/mod.rs
+++ b/crates/filbertgrade/src/connection/mod.rs
@@ -2,15 +2,15 @@
 //! and connections to backend servers.
 
 mod backend;
+mod counting;
 mod frame;
 mod link;
 mod pool;
 pub(crate) mod traffic;
-mod watched;
 
-pub use backend::{Busy, Connection, Idle, PROOF_AGE, Proven, RequestBody};
+pub use backend::{Busy, Connection, Idle, MAX_VERIFIED_AGE, RequestBody, Verified};
+pub use counting::{ByteCount, CountingIo};
 pub use frame::{FrameCodec, FrameError, MAX_FRAME_BYTES};
 pub(crate) use link::connect;
 pub use link::{LinkError, PeerLink, serve_frames};
-pub use pool::{Need, Pool, PoolError, PoolLimits};
-pub use watched::{ByteCount, WatchedIo};
+pub use pool::{CheckoutParams, Pool, PoolError, PoolLimits};
--- a/crates/filbertgrade/src/connection/pool.rs
+++ b/crates/filbertgrade/src/connection/pool.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 
-use super::backend::{Busy, Connection, Idle, PROOF_AGE, Proven};
+use super::backend::{Busy, Connection, Idle, MAX_VERIFIED_AGE, Verified};
 use crate::sync::lock;
 
 /// How long a connection may wait for its next request. Backend servers close
@@ -40,7 +40,7 @@
     /// Age of the last proof of life under a non-idempotent request. A longer
     /// age saves connections; a request on a connection that went silent
     /// meanwhile is lost.
-    pub proof_age: Duration,
+    pub max_verified_age: Duration,
     /// Longest wait of a connection whose backend server tells no limit.
     pub idle_limit: Duration,
 }
@@ -48,7 +48,7 @@
 impl Default for PoolLimits {
     fn default() -> Self {
         Self {
-            proof_age: PROOF_AGE,
+            max_verified_age: MAX_VERIFIED_AGE,
             idle_limit: IDLE_LIMIT,
         }
     }
@@ -56,7 +56,7 @@
 
 /// What a request needs of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Need {
+pub struct CheckoutParams {
     /// Address of the backend server.
     pub endpoint: SocketAddr,
     /// Connections that this VM may have open to it; at least 1.
@@ -124,40 +124,40 @@
     /// # Errors
     ///
     /// Fails when the backend server accepts no connection, or all stay busy.
-    pub async fn begin(&self, need: &Need) -> Result<Connection<Busy>, PoolError> {
+    pub async fn checkout(&self, params: &CheckoutParams) -> Result<Connection<Busy>, PoolError> {
         loop {
             let notified = self.changed.notified();
             tokio::pin!(notified);
             // Changes from here on must not be missed.
             notified.as_mut().enable();
-            match self.pick(need, Instant::now()) {
+            match self.pick(params, Instant::now()) {
                 Pick::Try(connection) => {
-                    if let Some(connection) = self.start(connection, need).await {
+                    if let Some(connection) = self.start(connection, params).await {
                         return Ok(connection);
                     }
                 }
-                Pick::Open(guard) => return Ok(self.open(need, guard).await?.start()),
+                Pick::Open(guard) => return Ok(self.open(params, guard).await?.start()),
                 Pick::Close(connection) => {
-                    connection.close_idle().await;
+                    connection.close().await;
                 }
                 Pick::Wait => {
-                    let deadline = tokio::time::Instant::from_std(need.deadline);
+                    let deadline = tokio::time::Instant::from_std(params.deadline);
                     tokio::time::timeout_at(deadline, notified)
                         .await
-                        .map_err(|_| PoolError::Full(need.endpoint))?;
+                        .map_err(|_| PoolError::Full(params.endpoint))?;
                 }
             }
         }
     }
 
     /// Takes back a connection that delivered a whole answer.
-    pub fn put_back(&self, connection: Connection<Proven>) {
-        self.put_back_for(connection, self.limits.idle_limit);
+    pub fn put_back(&self, connection: Connection<Verified>) {
+        self.put_back_with_idle_limit(connection, self.limits.idle_limit);
     }
 
     /// Takes back a connection that delivered a whole answer, and whose backend
     /// server keeps it for longer than `idle_limit`.
-    pub fn put_back_for(&self, connection: Connection<Proven>, idle_limit: Duration) {
+    pub fn put_back_with_idle_limit(&self, connection: Connection<Verified>, idle_limit: Duration) {
         let endpoint = connection.endpoint();
         self.lock()
             .entry(endpoint)
@@ -169,7 +169,7 @@
 
     /// Closes all idle connections to an endpoint, because another connection
     /// to it went silent.
-    pub fn distrust(&self, endpoint: SocketAddr) {
+    pub fn close_idle(&self, endpoint: SocketAddr) {
         let idle = self
             .lock()
             .get_mut(&endpoint)
@@ -189,15 +189,15 @@
         drop(expired);
     }
 
-    fn pick(&self, need: &Need, now: Instant) -> Pick {
+    fn pick(&self, params: &CheckoutParams, now: Instant) -> Pick {
         let mut endpoints = self.lock();
-        let endpoint = endpoints.entry(need.endpoint).or_default();
+        let endpoint = endpoints.entry(params.endpoint).or_default();
         let expired = endpoint.take_expired(now);
         let pick = endpoint
-            .take_usable(need, self.limits.proof_age, now)
+            .take_usable(params, self.limits.max_verified_age, now)
             .map(Pick::Try)
             .or_else(|| {
-                (endpoint.open < need.limit.max(1)).then(|| self.count_open(need, endpoint))
+                (endpoint.open < params.limit.max(1)).then(|| self.count_open(params, endpoint))
             })
             .or_else(|| endpoint.idle.pop().map(Pick::Close))
             .unwrap_or(Pick::Wait);
@@ -206,23 +206,27 @@
         pick
     }
 
-    fn count_open(&self, need: &Need, endpoint: &mut Endpoint) -> Pick {
+    fn count_open(&self, params: &CheckoutParams, endpoint: &mut Endpoint) -> Pick {
         endpoint.open += 1;
         Pick::Open(OpenGuard {
-            endpoint: need.endpoint,
+            endpoint: params.endpoint,
             endpoints: Arc::clone(&self.endpoints),
             changed: Arc::clone(&self.changed),
         })
     }
 
-    async fn open(&self, need: &Need, guard: OpenGuard) -> Result<Connection<Proven>, PoolError> {
-        let left = need.deadline.saturating_duration_since(Instant::now());
-        let opening = Connection::open(need.endpoint, self.local, guard);
+    async fn open(
+        &self,
+        params: &CheckoutParams,
+        guard: OpenGuard,
+    ) -> Result<Connection<Verified>, PoolError> {
+        let left = params.deadline.saturating_duration_since(Instant::now());
+        let opening = Connection::open(params.endpoint, self.local, guard);
         tokio::time::timeout(CONNECT_TIMEOUT.min(left), opening)
             .await
             .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
             .map_err(|source| PoolError::Connect {
-                endpoint: need.endpoint,
+                endpoint: params.endpoint,
                 source,
             })
     }
@@ -230,14 +234,14 @@
     async fn start(
         &self,
         mut connection: Connection<Idle>,
-        need: &Need,
+        params: &CheckoutParams,
     ) -> Option<Connection<Busy>> {
         if !connection.is_ready().await {
             return None;
         }
-        match connection.proven(Instant::now(), self.limits.proof_age) {
+        match connection.proven(Instant::now(), self.limits.max_verified_age) {
             Ok(connection) => Some(connection.start()),
-            Err(connection) if need.idempotent => Some(connection.start_idempotent()),
+            Err(connection) if params.idempotent => Some(connection.start_idempotent()),
             Err(_) => None,
         }
     }
@@ -251,12 +255,12 @@
     /// The newest idle connection, if the request may run on it.
     fn take_usable(
         &mut self,
-        need: &Need,
-        proof_age: Duration,
+        params: &CheckoutParams,
+        max_verified_age: Duration,
         now: Instant,
     ) -> Option<Connection<Idle>> {
         let newest = self.idle.last()?;
-        let usable = need.idempotent || newest.age(now) <= proof_age;
+        let usable = params.idempotent || newest.age(now) <= max_verified_age;
         if usable { self.idle.pop() } else { None }
     }
 
--- a/crates/filbertgrade/src/process/entry/carry.rs
+++ b/crates/filbertgrade/src/process/entry/carry.rs
@@ -15,11 +15,11 @@
 use super::Entry;
 use super::answer::{AnswerStream, Body};
 use super::slots::{EndpointFault, SlotAsk, SlotGrant};
-use crate::connection::{Busy, Connection, Need, PoolError};
+use crate::connection::{Busy, CheckoutParams, Connection, PoolError};
 use crate::logfmt;
 use crate::request::{
-    self, Attempt, AttemptState, Cause, Claim, DEADLINE_HEADER, Evidence, Failure, NextStep,
-    Refusal, SHORTEST_USEFUL, Situation, Upload, UploadFault,
+    self, Attempt, AttemptState, Cause, Claim, DEADLINE_HEADER, Failure, MIN_DEADLINE, NextStep,
+    Refusal, RetryContext, SendProgress, Upload, UploadError,
 };
 use crate::version::{Access, InForce, KeySecret, ServiceName};
 
@@ -55,12 +55,12 @@
     body_done: &'a AtomicBool,
 }
 
-impl Evidence for Sent<'_> {
-    fn has_byte_left(&self) -> bool {
+impl SendProgress for Sent<'_> {
+    fn has_sent_bytes(&self) -> bool {
         self.byte_left
     }
 
-    fn is_body_done(&self) -> bool {
+    fn has_sent_body(&self) -> bool {
         self.body_done.load(Ordering::Acquire)
     }
 }
@@ -87,7 +87,7 @@
 /// Reads what a caller still sends after a refusal. Closing the connection
 /// under it would reset the connection, and the refusal would be lost.
 async fn read_rest(upload: Upload<Incoming>) {
-    let _ = tokio::time::timeout(REST_TIME, upload.keep()).await;
+    let _ = tokio::time::timeout(REST_TIME, upload.buffer()).await;
 }
 
 async fn carry_parts(
@@ -140,7 +140,7 @@
     if parts.version < Version::HTTP_11 || parts.method == Method::CONNECT {
         return Err(Refusal::not_run(Cause::BadRequest));
     }
-    if request::holds_key(parts.uri.to_string().as_bytes()) {
+    if request::contains_api_key(parts.uri.to_string().as_bytes()) {
         return Err(Refusal::not_run(Cause::KeyInPath));
     }
     Ok(())
@@ -181,12 +181,12 @@
 /// Reads a small body before the request takes a slot, so that it can be sent
 /// again, and a slow caller holds nothing.
 async fn keep_small_body(call: &Call<'_>) -> Result<(), Refusal> {
-    if !call.upload.is_small() {
+    if !call.upload.fits_buffer() {
         return Ok(());
     }
-    match tokio::time::timeout_at(call.deadline.into(), call.upload.keep()).await {
+    match tokio::time::timeout_at(call.deadline.into(), call.upload.buffer()).await {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(UploadFault::Slow)) => Err(Refusal::not_run(Cause::SlowBody)),
+        Ok(Err(UploadError::Slow)) => Err(Refusal::not_run(Cause::SlowBody)),
         Ok(Err(_)) => Err(Refusal::not_run(Cause::BadRequest)),
         Err(_) => Err(Refusal::not_run(Cause::DeadlinePassed)),
     }
@@ -231,14 +231,14 @@
             Err(failed) => failed,
         };
         let now = Instant::now();
-        let situation = Situation {
+        let situation = RetryContext {
             state: failed.state,
             idempotent: call.idempotent,
             replayable: call.upload.is_replayable(),
             earlier_may_have_run: may_have_run,
             attempts,
-            most_attempts: request::MOST_ATTEMPTS,
-            budget: entry.with_budget(|budget| budget.has_room(now)),
+            max_attempts: request::MAX_ATTEMPTS,
+            budget_available: entry.with_budget(|budget| budget.can_spend(now)),
             deadline: call.deadline,
             now,
         };
@@ -250,7 +250,7 @@
             NextStep::RefuseNotRun(cause) => return Err(Refusal::not_run(cause)),
             NextStep::RefuseUnknown(cause) => return Err(Refusal::unknown(cause)),
             // Answers that began are passed on and abort in their stream.
-            NextStep::AbortAnswer => return Err(Refusal::unknown(Cause::BackendFailed)),
+            NextStep::AbortResponse => return Err(Refusal::unknown(Cause::BackendFailed)),
             NextStep::Retry {
                 elsewhere,
                 spends_budget,
@@ -270,15 +270,15 @@
 }
 
 /// The refusal of a request that could be sent again, but cannot in fact.
-fn refusal_after(failed: &Failed, situation: &Situation, may_have_run: bool) -> Refusal {
-    let last = Situation {
+fn refusal_after(failed: &Failed, situation: &RetryContext, may_have_run: bool) -> Refusal {
+    let last = RetryContext {
         replayable: false,
         ..*situation
     };
     match request::next_step(failed.failure, &last) {
         NextStep::RefuseNotRun(cause) if !may_have_run => Refusal::not_run(cause),
         NextStep::RefuseNotRun(cause) | NextStep::RefuseUnknown(cause) => Refusal::unknown(cause),
-        NextStep::Retry { .. } | NextStep::AbortAnswer => Refusal::unknown(Cause::BackendFailed),
+        NextStep::Retry { .. } | NextStep::AbortResponse => Refusal::unknown(Cause::BackendFailed),
     }
 }
 
@@ -289,7 +289,7 @@
     call: &Call<'_>,
     avoid: Vec<SocketAddr>,
 ) -> Result<(SlotGrant, Arc<InForce>), Refusal> {
-    if time_left(call) < SHORTEST_USEFUL {
+    if time_left(call) < MIN_DEADLINE {
         return Err(Refusal::not_run(Cause::DeadlinePassed));
     }
     let ask = SlotAsk {
@@ -315,14 +315,14 @@
     claim: Option<&mut Claim>,
 ) -> Result<Response<Body>, Failed> {
     let endpoint = slot.endpoint();
-    let need = Need {
+    let need = CheckoutParams {
         endpoint,
         limit: connection_limit(view, &call.service),
         idempotent: call.idempotent,
         deadline: call.deadline,
     };
-    let attempt = Attempt::begin();
-    let mut connection = match entry.pool.begin(&need).await {
+    let attempt = Attempt::start();
+    let mut connection = match entry.pool.checkout(&need).await {
         Ok(connection) => connection,
         Err(error) => {
             if matches!(error, PoolError::Connect { .. }) {
@@ -341,8 +341,11 @@
     let answer = match wait_for_answer(call, &mut connection, req).await {
         Ok(answer) => answer,
         Err(failure) => {
-            if matches!(failure, Failure::ConnectionSilent | Failure::DeadlinePassed) {
-                entry.pool.distrust(endpoint);
+            if matches!(
+                failure,
+                Failure::ConnectionTimedOut | Failure::DeadlinePassed
+            ) {
+                entry.pool.close_idle(endpoint);
             }
             let sent = Sent {
                 byte_left: connection.close().await,
@@ -354,10 +357,10 @@
         }
     };
     let sent = Sent {
-        byte_left: connection.has_byte_left(),
+        byte_left: connection.has_sent_bytes(),
         body_done: &body_done,
     };
-    let state = match attempt.observe(&sent).answer_begun() {
+    let state = match attempt.observe(&sent).response_started() {
         Ok(begun) => begun.state(),
         Err(_) => return Err(not_sent(Failure::ConnectionLost { reused: true })),
     };
@@ -372,7 +375,7 @@
         return Err(Failed { failure, state });
     }
     if !tells_its_end(&call.parts.method, &answer) {
-        let failure = Failure::Malformed;
+        let failure = Failure::MalformedResponse;
         return Err(Failed { failure, state });
     }
     let (mut parts, body) = answer.into_parts();
@@ -388,9 +391,10 @@
 ) -> Result<Response<Incoming>, Failure> {
     let reused = connection.is_reused();
     let patience = Instant::now() + SILENCE_PATIENCE;
-    let impatient = reused && call.idempotent && call.upload.is_kept() && patience < call.deadline;
+    let impatient =
+        reused && call.idempotent && call.upload.is_buffered() && patience < call.deadline;
     let (until, silence) = if impatient {
-        (patience, Failure::ConnectionSilent)
+        (patience, Failure::ConnectionTimedOut)
     } else {
         (call.deadline, Failure::DeadlinePassed)
     };
@@ -408,7 +412,7 @@
     body: request::UploadBody<Incoming>,
 ) -> Option<Request<crate::connection::RequestBody>> {
     let left = time_left(call);
-    if left < SHORTEST_USEFUL {
+    if left < MIN_DEADLINE {
         return None;
     }
     let target = call.parts.uri.path_and_query()?.as_str();
@@ -462,10 +466,10 @@
     }
 }
 
-fn failure_of_caller(fault: UploadFault) -> Failure {
+fn failure_of_caller(fault: UploadError) -> Failure {
     match fault {
-        UploadFault::Slow => Failure::CallerSlow,
-        UploadFault::Cut | UploadFault::Superseded => Failure::CallerGone,
+        UploadError::Slow => Failure::CallerSlow,
+        UploadError::Cut | UploadError::Superseded => Failure::CallerGone,
     }
 }
 
--- a/crates/filbertgrade/src/process/entry/shutdown.rs
+++ b/crates/filbertgrade/src/process/entry/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use super::Entry;
-use crate::request::LONGEST_DEADLINE;
+use crate::request::MAX_DEADLINE;
 
 /// Time besides the longest deadline for the last answers to be written.
 const MARGIN: Duration = Duration::from_secs(5);
@@ -42,7 +42,7 @@
 /// Closes idle callers' connections and waits for running requests.
 pub(crate) async fn finish(entry: &Entry, close: &watch::Sender<bool>) {
     close.send_replace(true);
-    let requests = tokio::time::timeout(LONGEST_DEADLINE + MARGIN, entry.callers.wait());
+    let requests = tokio::time::timeout(MAX_DEADLINE + MARGIN, entry.callers.wait());
     if requests.await.is_err() {
         log::error!("event=requests_cut connections={}", entry.callers.count());
     }
--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use filbertgrade_coord::steering::balancer::{LoadReport, Outcome, Target};
-use filbertgrade_platform::headers::{AnswerHead, AnswerKind, Forward};
+use filbertgrade_platform::headers::{ForwardHeaders, ResponseHead, ResponseKind};
 use http::{HeaderValue, Request, Response, StatusCode, response};
 use http_body::Body as _;
 use hyper::body::Incoming;
@@ -14,7 +14,7 @@
 use super::answer::{self, Body, Relay};
 use super::body::{Held, hold};
 use super::request::Call;
-use crate::connection::{Busy, Connection, Need, PoolError, RequestBody};
+use crate::connection::{Busy, CheckoutParams, Connection, PoolError, RequestBody};
 use crate::logfmt;
 use crate::request::{AttemptState, Failure};
 use crate::sync::lock;
@@ -70,7 +70,9 @@
     /// Takes a connection back after a whole answer.
     pub(super) fn put_back(&self, connection: Connection<Busy>, idle_limit: Duration) {
         let connection = connection.finish(Instant::now());
-        self.node.pool.put_back_for(connection, idle_limit);
+        self.node
+            .pool
+            .put_back_with_idle_limit(connection, idle_limit);
     }
 
     fn end(&mut self, outcome: Outcome, report: Option<LoadReport>) {
@@ -105,13 +107,13 @@
 /// Sends a request to an endpoint and reads its answer.
 pub(super) async fn run(node: &Arc<Node>, call: &Call, target: Target, body: RequestBody) -> Reply {
     let mut running = Running::new(node, target, call.object);
-    let need = Need {
+    let need = CheckoutParams {
         endpoint: running.target.address,
         limit: connection_limit(node, call),
         idempotent: call.route.kind.is_idempotent(),
         deadline: call.deadline,
     };
-    let connection = match node.pool.begin(&need).await {
+    let connection = match node.pool.checkout(&need).await {
         Ok(connection) => connection,
         Err(error) => return not_connected(&mut running, call, &error),
     };
@@ -161,17 +163,17 @@
         }
     };
     let (parts, body) = answer.into_parts();
-    let head = AnswerHead::read(parts.status, &parts.headers);
+    let head = ResponseHead::read(parts.status, &parts.headers);
     if let Some(failure) = fault_of(&head, parts.status, call) {
         drop(connection);
-        return no_answer(&mut running, call, failure, AttemptState::BodySent);
+        return no_answer(&mut running, call, failure, AttemptState::FullySent);
     }
     let idle_limit = idle_limit(&head);
     let held = match read(parts, body, call).await {
         Ok(held) => held,
         Err(failure) => {
             drop(connection);
-            return no_answer(&mut running, call, failure, AttemptState::BodySent);
+            return no_answer(&mut running, call, failure, AttemptState::FullySent);
         }
     };
     finish(running, call, connection, &head, held, idle_limit)
@@ -179,7 +181,7 @@
 
 async fn close(connection: Connection<Busy>) -> AttemptState {
     if connection.close().await {
-        AttemptState::BodySent
+        AttemptState::FullySent
     } else {
         AttemptState::NotSent
     }
@@ -190,7 +192,7 @@
     mut running: Running,
     call: &Call,
     connection: Connection<Busy>,
-    head: &AnswerHead,
+    head: &ResponseHead,
     (parts, held): Answered,
     idle_limit: Duration,
 ) -> Reply {
@@ -211,15 +213,15 @@
     };
     running.put_back(connection, idle_limit);
     match head.kind {
-        AnswerKind::NotRun => {
+        ResponseKind::NotRun => {
             let failure = Failure::Shed;
             refused(&mut running, call, failure, Outcome::Refused, head.load)
         }
-        AnswerKind::Mismatched => {
-            let failure = Failure::Mismatched;
+        ResponseKind::Misdirected => {
+            let failure = Failure::Misdirected;
             refused(&mut running, call, failure, Outcome::Mismatched, None)
         }
-        AnswerKind::Run => {
+        ResponseKind::Run => {
             let failed = running.end_answered(head, &parts, call);
             let answer = answer::whole(parts, bytes);
             if failed {
@@ -233,7 +235,7 @@
 
 impl Running {
     /// Ends the attempt with an answer. Returns whether the work failed.
-    fn end_answered(&mut self, head: &AnswerHead, parts: &response::Parts, call: &Call) -> bool {
+    fn end_answered(&mut self, head: &ResponseHead, parts: &response::Parts, call: &Call) -> bool {
         let failed = parts.status.is_server_error();
         let latency = self.latency();
         self.end(Outcome::Answered { latency, failed }, head.load);
@@ -273,7 +275,7 @@
     running.end(outcome, report);
     running.log(call, result_name(failure), None);
     metrics::counter!("backend_refusals_total", "cause" => result_name(failure)).increment(1);
-    let state = AttemptState::BodySent;
+    let state = AttemptState::FullySent;
     Reply::NoAnswer { failure, state }
 }
 
@@ -307,28 +309,28 @@
         Failure::NoConnection => "no_connection",
         Failure::ConnectionLost { reused: true } => "reused_connection_lost",
         Failure::ConnectionLost { reused: false } => "connection_lost",
-        Failure::ConnectionSilent => "silent",
+        Failure::ConnectionTimedOut => "silent",
         Failure::DeadlinePassed => "deadline_passed",
         Failure::Shed => "refused",
         Failure::Draining => "draining",
-        Failure::Mismatched => "other_endpoint",
-        Failure::Malformed => "malformed_answer",
+        Failure::Misdirected => "other_endpoint",
+        Failure::MalformedResponse => "malformed_answer",
         Failure::CallerSlow => "caller_slow",
         Failure::CallerGone => "caller_gone",
-        Failure::AnswerCut => "answer_cut",
+        Failure::ResponseCut => "answer_cut",
     }
 }
 
 /// Why an answer is not the answer to this request.
-fn fault_of(head: &AnswerHead, status: StatusCode, call: &Call) -> Option<Failure> {
+fn fault_of(head: &ResponseHead, status: StatusCode, call: &Call) -> Option<Failure> {
     let own = match (&head.id, &call.head.id) {
         (Some(echoed), Some(sent)) => echoed == sent,
         // Refusals need not name the request; every other answer does.
-        (None, Some(_)) => head.kind != AnswerKind::Run,
+        (None, Some(_)) => head.kind != ResponseKind::Run,
         (_, None) => true,
     };
     let unsigned = status.is_success() && !head.signed;
-    (!own || unsigned).then_some(Failure::Malformed)
+    (!own || unsigned).then_some(Failure::MalformedResponse)
 }
 
 async fn read(parts: response::Parts, body: Incoming, call: &Call) -> Result<Answered, Failure> {
@@ -337,12 +339,12 @@
     }
     match tokio::time::timeout_at(call.deadline.into(), hold(body, HELD_ANSWER_BYTES)).await {
         Ok(Ok(held)) => Ok((parts, held)),
-        Ok(Err(_)) => Err(Failure::AnswerCut),
+        Ok(Err(_)) => Err(Failure::ResponseCut),
         Err(_) => Err(Failure::DeadlinePassed),
     }
 }
 
-fn idle_limit(head: &AnswerHead) -> Duration {
+fn idle_limit(head: &ResponseHead) -> Duration {
     head.keep_alive
         .map_or(super::IDLE_LIMIT, |time| time.mul_f64(KEEP_ALIVE_USED))
 }
@@ -362,7 +364,7 @@
         .ok()?;
     let headers = req.headers_mut();
     headers.clone_from(&call.parts.headers);
-    Forward {
+    ForwardHeaders {
         time_left,
         endpoint: &target.key.id,
         team: call.team.as_ref().map(|team| &team.name),
--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_platform::lookup::{self, Question};
+use filbertgrade_platform::lookup::{self, SystemRequest};
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -144,15 +144,15 @@
 
 fn answer_question(node: &Node, req: &Request<Incoming>) -> Response<Body> {
     let now = Instant::now();
-    match Question::read(req.method(), req.uri()) {
-        Some(Question::Lookup(region)) => {
+    match SystemRequest::read(req.method(), req.uri()) {
+        Some(SystemRequest::Lookup(region)) => {
             let ready = node.is_ready(now);
             let vms = lock(&node.members).callers_of(region.as_ref(), ready, now);
             let ttl = LOOKUP_TTL.min(node.settings.load().bounds.lookup_ttl);
-            answer::json(StatusCode::OK, lookup::answer(&vms, ttl))
+            answer::json(StatusCode::OK, lookup::response_body(&vms, ttl))
         }
-        Some(Question::Ready) if node.is_ready(now) => answer::empty(StatusCode::OK),
-        Some(Question::Ready) => answer::empty(StatusCode::SERVICE_UNAVAILABLE),
+        Some(SystemRequest::Ready) if node.is_ready(now) => answer::empty(StatusCode::OK),
+        Some(SystemRequest::Ready) => answer::empty(StatusCode::SERVICE_UNAVAILABLE),
         None => answer::empty(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -35,7 +35,7 @@
 use filbertgrade_coord::steering::registry::Registry;
 use filbertgrade_coord::steering::retry::RetryConfig;
 use filbertgrade_coord::steering::settings::Settings;
-use filbertgrade_platform::settings::SettingsFault;
+use filbertgrade_platform::settings::SettingsError;
 use indexmap::IndexMap;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
@@ -53,7 +53,7 @@
 
 /// Age of the last proof of life of a connection under a non-idempotent
 /// request. Backend servers keep idle connections for several times as long.
-const PROOF_AGE: Duration = Duration::from_secs(4);
+const MAX_VERIFIED_AGE: Duration = Duration::from_secs(4);
 
 /// Longest wait of a connection whose backend server tells no limit.
 const IDLE_LIMIT: Duration = Duration::from_secs(6);
@@ -97,7 +97,7 @@
         /// The file.
         path: PathBuf,
         /// The cause.
-        source: SettingsFault,
+        source: SettingsError,
     },
     /// No settings file was named.
     #[error("no settings file: use --settings or set {0}")]
@@ -160,7 +160,7 @@
     fn new(settings: Settings, peers: Arc<UdpSocket>) -> Self {
         let incarnation = rand::random();
         let limits = PoolLimits {
-            proof_age: PROOF_AGE,
+            max_verified_age: MAX_VERIFIED_AGE,
             idle_limit: IDLE_LIMIT,
         };
         Self {
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -23,7 +23,7 @@
 use super::tokens;
 use crate::logfmt;
 use crate::request::{
-    self, AttemptState, Cause, Failure, NextStep, Refusal, Situation, remove_hop_by_hop,
+    self, AttemptState, Cause, Failure, NextStep, Refusal, RetryContext, remove_hop_by_hop,
 };
 use crate::sync::lock;
 
@@ -400,20 +400,20 @@
             progress.failed = Some(answer);
             (
                 Failure::ConnectionLost { reused: false },
-                AttemptState::BodySent,
+                AttemptState::FullySent,
             )
         }
         Reply::NoAnswer { failure, state } => (failure, state),
     };
     let now = Instant::now();
-    let mut situation = Situation {
+    let mut situation = RetryContext {
         state,
         idempotent: call.route.kind.is_idempotent(),
         replayable: upload.is_replayable(),
         earlier_may_have_run: progress.may_have_run,
         attempts: u32::try_from(progress.tried.len()).unwrap_or(u32::MAX),
-        most_attempts: call.route.max_attempts,
-        budget: true,
+        max_attempts: call.route.max_attempts,
+        budget_available: true,
         deadline: call.deadline,
         now,
     };
@@ -425,7 +425,7 @@
         && reached
         && !lock(&node.balancer).try_repeat(&call.service, now)
     {
-        situation.budget = false;
+        situation.budget_available = false;
         situation.replayable = false;
         step = request::next_step(failure, &situation);
     }
@@ -435,7 +435,7 @@
             Step::GiveUp(Refused::come_back(cause, Duration::from_millis(300)))
         }
         NextStep::RefuseUnknown(cause) => Step::GiveUp(Refused::unknown(cause)),
-        NextStep::AbortAnswer => Step::GiveUp(Refused::unknown(Cause::BackendFailed)),
+        NextStep::AbortResponse => Step::GiveUp(Refused::unknown(Cause::BackendFailed)),
     }
 }
 
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -13,7 +13,7 @@
 use filbertgrade_coord::steering::members::Member;
 use filbertgrade_coord::steering::quota::Limit;
 use filbertgrade_coord::steering::registry::{Registry, RegistryChange};
-use filbertgrade_platform::objects::{self, Kind, NEWEST_CONFIGURATION};
+use filbertgrade_platform::objects::{self, CONFIGURATION_NAME, Kind};
 use filbertgrade_platform::store::{Event, Object, StoreClient, StoreError};
 use indexmap::IndexMap;
 use rand::Rng;
@@ -408,7 +408,7 @@
     }
 }
 
-fn note_fault(kind: Kind, name: &str, fault: &objects::ObjectFault) {
+fn note_fault(kind: Kind, name: &str, fault: &objects::ObjectError) {
     log::warn!(
         "event=object_ignored kind={} name={} cause={}",
         kind.as_str(),
@@ -446,7 +446,7 @@
 }
 
 fn read_configuration(node: &Node, object: &Object, revision: u64) {
-    if object.name != NEWEST_CONFIGURATION {
+    if object.name != CONFIGURATION_NAME {
         return;
     }
     match objects::configuration(&object.spec) {
--- a/crates/filbertgrade/src/request/attempt.rs
+++ b/crates/filbertgrade/src/request/attempt.rs
@@ -11,38 +11,38 @@
     /// No byte of the request left this VM.
     NotSent,
     /// At least one byte of the request left this VM.
-    HeadersSent,
+    PartlySent,
     /// The whole request was passed to the connection, and at least one byte
     /// of it left this VM.
-    BodySent,
+    FullySent,
     /// The headers of the response arrived.
-    AnswerBegun,
+    ResponseStarted,
 }
 
 /// What was sent on the connection since the attempt started.
-pub trait Evidence: Debug {
+pub trait SendProgress: Debug {
     /// At least one byte of the request left this VM.
-    fn has_byte_left(&self) -> bool;
+    fn has_sent_bytes(&self) -> bool;
 
     /// The whole request body was passed to the connection.
-    fn is_body_done(&self) -> bool;
+    fn has_sent_body(&self) -> bool;
 }
 
 /// Type state for [`AttemptState::NotSent`].
 #[derive(Debug)]
 pub struct NotSent(());
 
-/// Type state for [`AttemptState::HeadersSent`].
+/// Type state for [`AttemptState::PartlySent`].
 #[derive(Debug)]
-pub struct HeadersSent(());
+pub struct PartlySent(());
 
-/// Type state for [`AttemptState::BodySent`].
+/// Type state for [`AttemptState::FullySent`].
 #[derive(Debug)]
-pub struct BodySent(());
+pub struct FullySent(());
 
-/// Type state for [`AttemptState::AnswerBegun`].
+/// Type state for [`AttemptState::ResponseStarted`].
 #[derive(Debug)]
-pub struct AnswerBegun(());
+pub struct ResponseStarted(());
 
 /// One attempt in state `S`. It only moves to later states, and only when the
 /// recorded progress shows that the later state was reached.
@@ -56,76 +56,76 @@
 pub enum Observed {
     /// See [`AttemptState::NotSent`].
     NotSent(Attempt<NotSent>),
-    /// See [`AttemptState::HeadersSent`].
-    HeadersSent(Attempt<HeadersSent>),
-    /// See [`AttemptState::BodySent`].
-    BodySent(Attempt<BodySent>),
+    /// See [`AttemptState::PartlySent`].
+    PartlySent(Attempt<PartlySent>),
+    /// See [`AttemptState::FullySent`].
+    FullySent(Attempt<FullySent>),
 }
 
 impl Attempt<NotSent> {
-    /// Creates an attempt of which nothing has been sent.
+    /// Starts an attempt, of which nothing has been sent yet.
     #[must_use]
-    pub fn begin() -> Self {
+    pub fn start() -> Self {
         Self {
             _state: NotSent(()),
         }
     }
 
-    /// Advances the attempt to the state that `evidence` shows.
+    /// Advances the attempt to the state that `progress` shows.
     ///
     /// A result of [`Observed::NotSent`] is final only once the connection is
     /// closed, because until then further bytes may leave.
     #[must_use]
-    pub fn observe(self, evidence: &impl Evidence) -> Observed {
-        if evidence.has_byte_left() {
+    pub fn observe(self, progress: &impl SendProgress) -> Observed {
+        if progress.has_sent_bytes() {
             Attempt {
-                _state: HeadersSent(()),
+                _state: PartlySent(()),
             }
-            .observe(evidence)
+            .observe(progress)
         } else {
             Observed::NotSent(self)
         }
     }
 }
 
-impl Attempt<HeadersSent> {
+impl Attempt<PartlySent> {
     /// Advances the attempt if the whole body was sent as well.
     #[must_use]
-    pub fn observe(self, evidence: &impl Evidence) -> Observed {
-        if evidence.is_body_done() {
-            Observed::BodySent(Attempt {
-                _state: BodySent(()),
+    pub fn observe(self, progress: &impl SendProgress) -> Observed {
+        if progress.has_sent_body() {
+            Observed::FullySent(Attempt {
+                _state: FullySent(()),
             })
         } else {
-            Observed::HeadersSent(self)
+            Observed::PartlySent(self)
         }
     }
 
     /// Records that the response headers arrived before the whole body was
     /// sent.
     #[must_use]
-    pub fn answer_begun(self) -> Attempt<AnswerBegun> {
+    pub fn response_started(self) -> Attempt<ResponseStarted> {
         Attempt {
-            _state: AnswerBegun(()),
+            _state: ResponseStarted(()),
         }
     }
 }
 
-impl Attempt<BodySent> {
+impl Attempt<FullySent> {
     /// Records that the response headers arrived.
     #[must_use]
-    pub fn answer_begun(self) -> Attempt<AnswerBegun> {
+    pub fn response_started(self) -> Attempt<ResponseStarted> {
         Attempt {
-            _state: AnswerBegun(()),
+            _state: ResponseStarted(()),
         }
     }
 }
 
-impl Attempt<AnswerBegun> {
+impl Attempt<ResponseStarted> {
     /// Returns the type state as a value.
     #[must_use]
     pub fn state(&self) -> AttemptState {
-        AttemptState::AnswerBegun
+        AttemptState::ResponseStarted
     }
 }
 
@@ -135,8 +135,8 @@
     pub fn state(&self) -> AttemptState {
         match self {
             Self::NotSent(_) => AttemptState::NotSent,
-            Self::HeadersSent(_) => AttemptState::HeadersSent,
-            Self::BodySent(_) => AttemptState::BodySent,
+            Self::PartlySent(_) => AttemptState::PartlySent,
+            Self::FullySent(_) => AttemptState::FullySent,
         }
     }
 
@@ -146,11 +146,11 @@
     ///
     /// Returns the attempt unchanged when no byte of the request had left,
     /// because what arrived then is not a response to this request.
-    pub fn answer_begun(self) -> Result<Attempt<AnswerBegun>, Attempt<NotSent>> {
+    pub fn response_started(self) -> Result<Attempt<ResponseStarted>, Attempt<NotSent>> {
         match self {
             Self::NotSent(attempt) => Err(attempt),
-            Self::HeadersSent(attempt) => Ok(attempt.answer_begun()),
-            Self::BodySent(attempt) => Ok(attempt.answer_begun()),
+            Self::PartlySent(attempt) => Ok(attempt.response_started()),
+            Self::FullySent(attempt) => Ok(attempt.response_started()),
         }
     }
 }
--- a/crates/filbertgrade/src/request/budget.rs
+++ b/crates/filbertgrade/src/request/budget.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether the balance covers one retry.
-    pub fn has_room(&mut self, now: Instant) -> bool {
+    pub fn can_spend(&mut self, now: Instant) -> bool {
         self.refill(now);
         self.balance >= 1.0
     }
@@ -50,7 +50,7 @@
     /// Takes one retry from the balance. Returns false, and takes nothing, when
     /// the balance does not cover it.
     pub fn spend(&mut self, now: Instant) -> bool {
-        let covered = self.has_room(now);
+        let covered = self.can_spend(now);
         if covered {
             self.balance -= 1.0;
         }
--- a/crates/filbertgrade/src/request/decision.rs
+++ b/crates/filbertgrade/src/request/decision.rs
@@ -6,7 +6,7 @@
 
 /// Largest number of attempts for one request. When the whole service is busy,
 /// further attempts would only use up the caller's deadline.
-pub const MOST_ATTEMPTS: u32 = 4;
+pub const MAX_ATTEMPTS: u32 = 4;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     },
     /// A reused connection delivered no response within the time that a working
     /// connection needs; the deadline has not passed.
-    ConnectionSilent,
+    ConnectionTimedOut,
     /// No response arrived before the deadline.
     DeadlinePassed,
     /// The backend server refused because its slots are busy.
@@ -28,21 +28,21 @@
     /// The backend server refused because it is draining.
     Draining,
     /// Another backend server now uses the address, and refused the request.
-    Mismatched,
+    Misdirected,
     /// The backend server's response is malformed, or its end cannot be
     /// determined.
-    Malformed,
+    MalformedResponse,
     /// The caller sent its body too slowly.
     CallerSlow,
     /// The caller disconnected before it had sent its whole body.
     CallerGone,
     /// The connection ended in the middle of the response.
-    AnswerCut,
+    ResponseCut,
 }
 
 /// Everything besides the failure that determines the next step.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation {
+pub struct RetryContext {
     /// How much of the request the failed attempt had sent.
     pub state: AttemptState,
     /// The request may safely run more than once.
@@ -54,9 +54,9 @@
     /// Attempts so far, including the failed one.
     pub attempts: u32,
     /// Largest number of attempts for this request.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// The retry budget covers one more retry.
-    pub budget: bool,
+    pub budget_available: bool,
     /// The caller's deadline.
     pub deadline: Instant,
     /// Time of the decision.
@@ -79,7 +79,7 @@
     /// Refuse the request; a backend server may have run it.
     RefuseUnknown(Cause),
     /// Abort the response stream, because its headers were already forwarded.
-    AbortAnswer,
+    AbortResponse,
 }
 
 /// Decides what to do with a request after a failed attempt.
@@ -87,24 +87,27 @@
 /// A request that a backend server may have run is retried only when it is
 /// idempotent and the retry budget covers it.
 #[must_use]
-pub fn next_step(failure: Failure, situation: &Situation) -> NextStep {
+pub fn next_step(failure: Failure, context: &RetryContext) -> NextStep {
     let explicit = failure.is_explicit_refusal();
-    if situation.state == AttemptState::AnswerBegun && !explicit && failure != Failure::Malformed {
-        return NextStep::AbortAnswer;
+    if context.state == AttemptState::ResponseStarted
+        && !explicit
+        && failure != Failure::MalformedResponse
+    {
+        return NextStep::AbortResponse;
     }
-    let ran = may_have_run(failure, situation.state);
-    if may_retry(failure, ran, situation) {
+    let ran = may_have_run(failure, context.state);
+    if may_retry(failure, ran, context) {
         return NextStep::Retry {
             elsewhere: failure.is_endpoint_failure(),
             spends_budget: ran,
         };
     }
-    let cause = if !explicit && situation.now >= situation.deadline && !ran {
+    let cause = if !explicit && context.now >= context.deadline && !ran {
         Cause::DeadlinePassed
     } else {
         failure.cause()
     };
-    if ran || situation.earlier_may_have_run {
+    if ran || context.earlier_may_have_run {
         NextStep::RefuseUnknown(cause)
     } else {
         NextStep::RefuseNotRun(cause)
@@ -118,31 +121,31 @@
     state > AttemptState::NotSent && !failure.is_explicit_refusal()
 }
 
-fn may_retry(failure: Failure, ran: bool, situation: &Situation) -> bool {
+fn may_retry(failure: Failure, ran: bool, context: &RetryContext) -> bool {
     let final_failure = matches!(
         failure,
         Failure::DeadlinePassed | Failure::CallerSlow | Failure::CallerGone
     );
-    let permitted = !ran || (situation.idempotent && situation.budget);
+    let permitted = !ran || (context.idempotent && context.budget_available);
     !final_failure
         && permitted
-        && situation.replayable
-        && situation.attempts < situation.most_attempts
-        && situation.now < situation.deadline
+        && context.replayable
+        && context.attempts < context.max_attempts
+        && context.now < context.deadline
 }
 
 impl Failure {
     /// The backend server stated that it did not run the request.
     #[must_use]
     pub fn is_explicit_refusal(self) -> bool {
-        matches!(self, Self::Shed | Self::Draining | Self::Mismatched)
+        matches!(self, Self::Shed | Self::Draining | Self::Misdirected)
     }
 
     /// The endpoint itself failed, rather than one reused connection to it.
     fn is_endpoint_failure(self) -> bool {
         !matches!(
             self,
-            Self::ConnectionLost { reused: true } | Self::ConnectionSilent
+            Self::ConnectionLost { reused: true } | Self::ConnectionTimedOut
         )
     }
 
@@ -150,11 +153,11 @@
         match self {
             Self::NoConnection
             | Self::ConnectionLost { .. }
-            | Self::Malformed
-            | Self::AnswerCut => Cause::BackendFailed,
-            Self::ConnectionSilent | Self::DeadlinePassed => Cause::BackendSilent,
+            | Self::MalformedResponse
+            | Self::ResponseCut => Cause::BackendFailed,
+            Self::ConnectionTimedOut | Self::DeadlinePassed => Cause::BackendSilent,
             Self::Shed => Cause::Busy,
-            Self::Draining | Self::Mismatched => Cause::NoEndpoint,
+            Self::Draining | Self::Misdirected => Cause::NoEndpoint,
             Self::CallerSlow => Cause::SlowBody,
             Self::CallerGone => Cause::BadRequest,
         }
--- a/crates/filbertgrade/src/request/headers.rs
+++ b/crates/filbertgrade/src/request/headers.rs
@@ -31,7 +31,7 @@
 
 /// Whether `text` contains an API key, or anything that starts like one.
 #[must_use]
-pub fn holds_key(text: &[u8]) -> bool {
+pub fn contains_api_key(text: &[u8]) -> bool {
     text.windows(API_KEY_PREFIX.len())
         .any(|part| part == API_KEY_PREFIX)
 }
@@ -55,7 +55,9 @@
     }
     let with_key: Vec<HeaderName> = headers
         .iter()
-        .filter(|(name, value)| holds_key(value.as_bytes()) || holds_key(name.as_str().as_bytes()))
+        .filter(|(name, value)| {
+            contains_api_key(value.as_bytes()) || contains_api_key(name.as_str().as_bytes())
+        })
         .map(|(name, _)| name.clone())
         .collect();
     for name in with_key {
--- a/crates/filbertgrade/src/request/limits.rs
+++ b/crates/filbertgrade/src/request/limits.rs
@@ -19,22 +19,22 @@
 
 /// Largest deadline; longer ones are reduced to it. It bounds how long a VM
 /// that is shutting down waits for its running requests.
-pub const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
 /// Smallest remaining time with which a request is sent to a backend server. In
 /// less time the response cannot return.
-pub const SHORTEST_USEFUL: Duration = Duration::from_millis(1);
+pub const MIN_DEADLINE: Duration = Duration::from_millis(1);
 
 /// Largest length of an idempotency key in bytes.
-pub const LONGEST_IDEMPOTENCY_KEY: usize = 255;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
 /// Returns the time that the caller allows for a request, between
-/// [`SHORTEST_USEFUL`] and [`LONGEST_DEADLINE`].
+/// [`MIN_DEADLINE`] and [`MAX_DEADLINE`].
 ///
 /// # Errors
 ///
 /// Refuses the request as not run when the header is malformed, is repeated,
-/// or allows less than [`SHORTEST_USEFUL`].
+/// or allows less than [`MIN_DEADLINE`].
 pub fn deadline_of(headers: &HeaderMap) -> Result<Duration, Refusal> {
     let Some(value) = single(headers, DEADLINE_HEADER)? else {
         return Ok(DEFAULT_DEADLINE);
@@ -48,10 +48,10 @@
         .parse()
         .map_err(|_| Refusal::not_run(Cause::BadRequest))?;
     let time = Duration::from_millis(ms);
-    if time < SHORTEST_USEFUL {
+    if time < MIN_DEADLINE {
         return Err(Refusal::not_run(Cause::DeadlinePassed));
     }
-    Ok(time.min(LONGEST_DEADLINE))
+    Ok(time.min(MAX_DEADLINE))
 }
 
 /// Returns the idempotency key of a request; `None` when it has none.
@@ -66,7 +66,7 @@
     };
     let bytes = value.as_bytes();
     let well_formed = !bytes.is_empty()
-        && bytes.len() <= LONGEST_IDEMPOTENCY_KEY
+        && bytes.len() <= MAX_IDEMPOTENCY_KEY_BYTES
         && bytes.iter().all(u8::is_ascii_graphic);
     match value.to_str() {
         Ok(key) if well_formed => Ok(Some(key)),
--- a/crates/filbertgrade/src/request/mod.rs
+++ b/crates/filbertgrade/src/request/mod.rs
@@ -12,15 +12,15 @@
 mod upload;
 
 pub use attempt::{
-    AnswerBegun, Attempt, AttemptState, BodySent, Evidence, HeadersSent, NotSent, Observed,
+    Attempt, AttemptState, FullySent, NotSent, Observed, PartlySent, ResponseStarted, SendProgress,
 };
 pub use budget::RetryBudget;
-pub use decision::{Failure, MOST_ATTEMPTS, NextStep, Situation, may_have_run, next_step};
+pub use decision::{Failure, MAX_ATTEMPTS, NextStep, RetryContext, may_have_run, next_step};
 pub use guard::{AttemptRecord, AttemptRecordState, Claim, Guard};
-pub use headers::{holds_key, prepare_request, remove_hop_by_hop};
+pub use headers::{contains_api_key, prepare_request, remove_hop_by_hop};
 pub use limits::{
-    DEADLINE_HEADER, DEFAULT_DEADLINE, IDEMPOTENCY_HEADER, LONGEST_DEADLINE,
-    LONGEST_IDEMPOTENCY_KEY, SHORTEST_USEFUL, deadline_of, idempotency_key_of,
+    DEADLINE_HEADER, DEFAULT_DEADLINE, IDEMPOTENCY_HEADER, MAX_DEADLINE, MAX_IDEMPOTENCY_KEY_BYTES,
+    MIN_DEADLINE, deadline_of, idempotency_key_of,
 };
 pub use refusal::{Cause, Outcome, Refusal};
-pub use upload::{BODY_SILENCE, KEPT_BYTES, Upload, UploadBody, UploadFault};
+pub use upload::{BODY_IDLE_TIMEOUT, MAX_REPLAYABLE_BYTES, Upload, UploadBody, UploadError};
--- a/crates/filbertgrade/src/request/upload.rs
+++ b/crates/filbertgrade/src/request/upload.rs
@@ -15,16 +15,16 @@
 use tokio::time::Sleep;
 
 /// Largest body in bytes that is buffered, so that a retry can send it again.
-pub const KEPT_BYTES: usize = 64 * 1024;
+pub const MAX_REPLAYABLE_BYTES: usize = 64 * 1024;
 
 /// Longest time without data from a caller that is sending a body. A slower
 /// caller would occupy a slot that other requests need.
-pub const BODY_SILENCE: Duration = Duration::from_secs(10);
+pub const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a caller's body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum UploadFault {
-    /// No data arrived for [`BODY_SILENCE`].
+pub enum UploadError {
+    /// No data arrived for [`BODY_IDLE_TIMEOUT`].
     #[error("the caller sends the request body too slowly")]
     Slow,
     /// Reading failed before the whole body had arrived.
@@ -52,7 +52,7 @@
     ended: bool,
     /// Exact size in bytes, if the caller announced it.
     size: Option<u64>,
-    error: Option<UploadFault>,
+    error: Option<UploadError>,
     /// Number of the newest attempt, the only one that may read.
     attempt: u64,
     /// Runs while the source waits for data from the caller.
@@ -96,22 +96,22 @@
         }
     }
 
-    /// Whether the announced size is at most [`KEPT_BYTES`]; false when the
+    /// Whether the announced size is at most [`MAX_REPLAYABLE_BYTES`]; false when the
     /// caller announced no size.
     #[must_use]
-    pub fn is_small(&self) -> bool {
+    pub fn fits_buffer(&self) -> bool {
         let size = self.lock().size;
-        size.is_some_and(|size| size <= KEPT_BYTES as u64)
+        size.is_some_and(|size| size <= MAX_REPLAYABLE_BYTES as u64)
     }
 
     /// Reads the whole body, and keeps it buffered if it is at most
-    /// [`KEPT_BYTES`] long. A small body is read before the request takes a
+    /// [`MAX_REPLAYABLE_BYTES`] long. A small body is read before the request takes a
     /// slot, so that a slow caller occupies none.
     ///
     /// # Errors
     ///
     /// Fails when the caller is too slow or disconnects.
-    pub async fn keep(&self) -> Result<(), UploadFault> {
+    pub async fn buffer(&self) -> Result<(), UploadError> {
         std::future::poll_fn(|cx| {
             let mut source = self.lock();
             while !source.ended {
@@ -127,7 +127,7 @@
 
     /// Returns the body from its start for a new attempt, and a flag that is
     /// set once the attempt has read its end. Older attempts then fail with
-    /// [`UploadFault::Superseded`] when they read.
+    /// [`UploadError::Superseded`] when they read.
     #[must_use]
     pub fn body(&self) -> (UploadBody<B>, Arc<AtomicBool>) {
         let mut source = self.lock();
@@ -152,7 +152,7 @@
 
     /// Whether the whole body has arrived and is buffered.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
+    pub fn is_buffered(&self) -> bool {
         let source = self.lock();
         source.replayable && source.ended
     }
@@ -167,7 +167,7 @@
 
     /// Why reading from the caller failed, if it did.
     #[must_use]
-    pub fn fault(&self) -> Option<UploadFault> {
+    pub fn fault(&self) -> Option<UploadError> {
         self.lock().error
     }
 
@@ -182,7 +182,7 @@
 {
     /// Reads the next data from the caller; `None` at the end. Trailers are
     /// dropped, because they could contain an API key.
-    fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadFault>>> {
+    fn poll_more(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, UploadError>>> {
         if let Some(error) = self.error {
             return Poll::Ready(Some(Err(error)));
         }
@@ -197,7 +197,7 @@
                     self.ended = true;
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return Poll::Ready(Some(Err(self.fail(UploadFault::Cut)))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(self.fail(UploadError::Cut)))),
                 Some(Ok(frame)) => frame.into_data(),
             };
             self.ended = self.body.is_end_stream();
@@ -211,16 +211,16 @@
     fn poll_idle_timer(
         &mut self,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Bytes, UploadFault>>> {
+    ) -> Poll<Option<Result<Bytes, UploadError>>> {
         let timer = self
             .idle_timer
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(BODY_SILENCE)));
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(BODY_IDLE_TIMEOUT)));
         ready!(timer.as_mut().poll(cx));
-        Poll::Ready(Some(Err(self.fail(UploadFault::Slow))))
+        Poll::Ready(Some(Err(self.fail(UploadError::Slow))))
     }
 
     /// Records `error`, which every later read returns.
-    fn fail(&mut self, error: UploadFault) -> UploadFault {
+    fn fail(&mut self, error: UploadError) -> UploadError {
         self.error = Some(error);
         error
     }
@@ -231,7 +231,7 @@
             return;
         }
         self.buffered_bytes += data.len();
-        if self.buffered_bytes <= KEPT_BYTES {
+        if self.buffered_bytes <= MAX_REPLAYABLE_BYTES {
             self.buffered.push(data.clone());
         } else {
             self.replayable = false;
@@ -245,16 +245,16 @@
     B: Body<Data = Bytes> + Unpin,
 {
     type Data = Bytes;
-    type Error = UploadFault;
+    type Error = UploadError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, UploadFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         let this = &mut *self;
         let mut source = lock(&this.source);
         if source.attempt != this.attempt {
-            return Poll::Ready(Some(Err(UploadFault::Superseded)));
+            return Poll::Ready(Some(Err(UploadError::Superseded)));
         }
         let buffered = source.buffered.get(this.frames).cloned();
         let data = match buffered {
--- a/crates/filbertgrade/tests/path/decisions.rs
+++ b/crates/filbertgrade/tests/path/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade::request::{
-    AttemptState, Failure, LONGEST_DEADLINE, MOST_ATTEMPTS, NextStep, RetryBudget, Situation,
+    AttemptState, Failure, MAX_ATTEMPTS, MAX_DEADLINE, NextStep, RetryBudget, RetryContext,
     deadline_of, idempotency_key_of, next_step,
 };
 use http::{HeaderMap, HeaderValue};
@@ -16,24 +16,24 @@
         Failure::NoConnection,
         Failure::ConnectionLost { reused: false },
         Failure::ConnectionLost { reused: true },
-        Failure::ConnectionSilent,
+        Failure::ConnectionTimedOut,
         Failure::DeadlinePassed,
         Failure::Shed,
         Failure::Draining,
-        Failure::Mismatched,
-        Failure::Malformed,
+        Failure::Misdirected,
+        Failure::MalformedResponse,
         Failure::CallerSlow,
         Failure::CallerGone,
-        Failure::AnswerCut,
+        Failure::ResponseCut,
     ])
 }
 
-fn situations() -> impl Strategy<Value = Situation> {
+fn situations() -> impl Strategy<Value = RetryContext> {
     let state = select(vec![
         AttemptState::NotSent,
-        AttemptState::HeadersSent,
-        AttemptState::BodySent,
-        AttemptState::AnswerBegun,
+        AttemptState::PartlySent,
+        AttemptState::FullySent,
+        AttemptState::ResponseStarted,
     ]);
     (state, any::<[bool; 4]>(), 1_u32..6, -50_i64..50).prop_map(
         |(state, [idempotent, replayable, earlier_may_have_run, budget], attempts, left)| {
@@ -44,14 +44,14 @@
             } else {
                 deadline + offset
             };
-            Situation {
+            RetryContext {
                 state,
                 idempotent,
                 replayable,
                 earlier_may_have_run,
                 attempts,
-                most_attempts: MOST_ATTEMPTS,
-                budget,
+                max_attempts: MAX_ATTEMPTS,
+                budget_available: budget,
                 deadline,
                 now,
             }
@@ -62,7 +62,7 @@
 fn is_explicit(failure: Failure) -> bool {
     matches!(
         failure,
-        Failure::Shed | Failure::Draining | Failure::Mismatched
+        Failure::Shed | Failure::Draining | Failure::Misdirected
     )
 }
 
@@ -105,7 +105,7 @@
         if let NextStep::Retry { spends_budget, .. } = next_step(failure, &situation) {
             prop_assert!(situation.now < situation.deadline);
             prop_assert!(situation.replayable && situation.attempts < 4);
-            prop_assert!(!spends_budget || situation.budget);
+            prop_assert!(!spends_budget || situation.budget_available);
             let sent = situation.state > AttemptState::NotSent && !is_explicit(failure);
             prop_assert_eq!(spends_budget, sent);
         }
@@ -114,9 +114,9 @@
     /// Guards against a second answer after the first one began.
     #[test]
     fn answer_that_began_is_aborted(situation in situations()) {
-        prop_assume!(situation.state == AttemptState::AnswerBegun);
-        for failure in [Failure::AnswerCut, Failure::DeadlinePassed] {
-            prop_assert_eq!(next_step(failure, &situation), NextStep::AbortAnswer);
+        prop_assume!(situation.state == AttemptState::ResponseStarted);
+        for failure in [Failure::ResponseCut, Failure::DeadlinePassed] {
+            prop_assert_eq!(next_step(failure, &situation), NextStep::AbortResponse);
         }
     }
 
@@ -151,7 +151,7 @@
             headers.insert("x-deadline-ms", value.clone());
             headers.insert("idempotency-key", value);
             match deadline_of(&headers) {
-                Ok(time) => prop_assert!(!time.is_zero() && time <= LONGEST_DEADLINE),
+                Ok(time) => prop_assert!(!time.is_zero() && time <= MAX_DEADLINE),
                 Err(refusal) => prop_assert!(refusal.is_not_run()),
             }
             match idempotency_key_of(&headers) {
--- a/crates/filbertgrade/tests/path/pool.rs
+++ b/crates/filbertgrade/tests/path/pool.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade::connection::{Need, Pool};
+use filbertgrade::connection::{CheckoutParams, Pool};
 use http::Request;
 use http_body_util::{BodyExt, Empty};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -48,8 +48,8 @@
     (address, count)
 }
 
-fn need(endpoint: SocketAddr, limit: usize, idempotent: bool) -> Need {
-    Need {
+fn need(endpoint: SocketAddr, limit: usize, idempotent: bool) -> CheckoutParams {
+    CheckoutParams {
         endpoint,
         limit,
         idempotent,
@@ -57,8 +57,8 @@
     }
 }
 
-async fn run(pool: &Pool, need: &Need, give_up: bool) {
-    let mut connection = pool.begin(need).await.unwrap();
+async fn run(pool: &Pool, need: &CheckoutParams, give_up: bool) {
+    let mut connection = pool.checkout(need).await.unwrap();
     let req = Request::get("/chart/x")
         .header("host", "chart")
         .body(Empty::<Bytes>::new().map_err(|e| match e {}).boxed_unsync())
@@ -102,7 +102,7 @@
     let pool = Pool::new(LOCAL);
     run(&pool, &need(address, 10, false), false).await;
     assert!(
-        pool.begin(&need(address, 10, false))
+        pool.checkout(&need(address, 10, false))
             .await
             .unwrap()
             .is_reused()
@@ -110,20 +110,20 @@
 
     run(&pool, &need(address, 10, false), false).await;
     tokio::time::sleep(Duration::from_millis(1100)).await;
-    let order = pool.begin(&need(address, 10, false)).await.unwrap();
+    let order = pool.checkout(&need(address, 10, false)).await.unwrap();
     assert!(!order.is_reused());
     assert!(
-        pool.begin(&need(address, 10, true))
+        pool.checkout(&need(address, 10, true))
             .await
             .unwrap()
             .is_reused()
     );
 
     run(&pool, &need(address, 10, false), false).await;
-    pool.distrust(address);
+    pool.close_idle(address);
     assert!(
         !pool
-            .begin(&need(address, 10, true))
+            .checkout(&need(address, 10, true))
             .await
             .unwrap()
             .is_reused()
--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/scene.rs
@@ -19,7 +19,7 @@
 /// Longest time from the admission of a request to its arrival at a backend
 /// server. The entry counts `x-deadline-ms` from the arrival of the request,
 /// takes the token after that, and starts no attempt later than
-/// `SHORTEST_USEFUL` before the deadline (`take_slot` and `request_for` in
+/// `MIN_DEADLINE` before the deadline (`take_slot` and `request_for` in
 /// `entry/carry.rs`). An admission is therefore observed late by less than
 /// the deadline, and never early.
 const JITTER: Duration = DEADLINE;
