--- a/crates/filbertgrade/src/connection/backend.rs
+++ b/crates/filbertgrade/src/connection/backend.rs
@@ -1,4 +1,9 @@
-//! One connection to a backend server, with its state as a type.
+//! One connection to a backend server, with its state as a type parameter.
+//!
+//! A connection counts as verified for a short time after it has delivered a
+//! whole response. Non-idempotent requests are sent only on new or verified
+//! connections, because a connection can fail without notice, and a request
+//! that was sent on it cannot be repeated.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -15,42 +20,43 @@
 
 use super::counting::{ByteCount, CountingIo};
 
-/// How long a whole answer proves that a connection is alive. It bounds how
-/// old the proof under a non-idempotent request may be.
+/// Default time for which a whole response verifies that a connection works.
+/// Non-idempotent requests are not sent on an older connection.
 pub const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
-/// Time for an answered connection to become ready for the next request,
-/// which takes one turn of its task.
+/// Time limit for a connection to become ready for the next request after a
+/// response. Its task needs to be polled once for that.
 const READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Longest time to wait for a backend server to close its end. Two regions
-/// are 55 ms apart each way.
-const LINGER: Duration = Duration::from_millis(150);
+/// Longest time to wait until a backend server closes its end of a connection.
+/// The latency between two regions is 55 ms each way.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Largest head of an answer in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
+/// Largest size of a response's status line and headers in bytes.
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1024;
 
-/// A request's body as a connection takes it.
+/// The type of request bodies on these connections.
 pub type RequestBody = UnsyncBoxBody<Bytes, Box<dyn std::error::Error + Send + Sync>>;
 
-/// No request runs, and the last proof of life may be old.
+/// State of a connection in the pool: no request runs, and the last response
+/// may be too old to verify the connection.
 #[derive(Debug)]
 pub struct Idle {
-    proven_at: Instant,
-    /// How long after the proof it may still be used.
+    verified_at: Instant,
+    /// Time after `verified_at` for which the connection may be used.
     idle_limit: Duration,
 }
 
-/// A request runs.
+/// State of a connection on which a request runs.
 #[derive(Debug)]
 pub struct Busy {
-    /// Bytes that had left before this request.
-    mark: u64,
+    /// Bytes sent on the connection before this request.
+    sent_before: u64,
     reused: bool,
 }
 
-/// No request runs, and the connection is new or just delivered a whole
-/// answer.
+/// State of a connection on which no request runs, and which is new or has
+/// recently delivered a whole response.
 #[derive(Debug)]
 pub struct Verified {
     at: Instant,
@@ -58,7 +64,7 @@
 }
 
 /// A connection in state `S`. Dropping it closes it, in every state, so that
-/// an answer that arrives late reaches nobody.
+/// a late response cannot be taken for that of another request.
 #[derive(Debug)]
 pub struct Connection<S> {
     endpoint: SocketAddr,
@@ -68,36 +74,37 @@
     state: S,
 }
 
-/// The task that moves a connection's bytes. It closes the connection when
-/// this is dropped.
+/// Handle of the task that performs a connection's I/O. Dropping the handle
+/// makes the task close the connection.
 #[derive(Debug)]
 struct Driver {
     /// Dropped to close the connection.
     close: Option<oneshot::Sender<()>>,
-    /// Resolves when no further byte can leave.
+    /// Resolves once no further byte can leave.
     stopped: oneshot::Receiver<()>,
 }
 
 impl Connection<Verified> {
-    /// Opens a connection. `held` is dropped after the connection is closed.
+    /// Opens a connection from the address `local`. `guard` is dropped after
+    /// the connection is closed.
     ///
     /// # Errors
     ///
-    /// Fails when the backend server does not accept it.
-    pub async fn open<H: Send + 'static>(
+    /// Fails when the backend server does not accept the connection.
+    pub async fn open<G: Send + 'static>(
         endpoint: SocketAddr,
         local: IpAddr,
-        held: H,
+        guard: G,
     ) -> std::io::Result<Self> {
         let stream = super::connect(endpoint, Some(local)).await?;
         let io = CountingIo::new(stream);
         let count = io.count();
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(MAX_ANSWER_HEAD)
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
             .handshake(TokioIo::new(io))
             .await
             .map_err(std::io::Error::other)?;
-        let driver = Driver::spawn(connection, held);
+        let driver = Driver::spawn(connection, guard);
         Ok(Self {
             endpoint,
             sender,
@@ -110,39 +117,40 @@
         })
     }
 
-    /// Begins any request.
+    /// Starts a request, which need not be idempotent.
     #[must_use]
     pub fn start(self) -> Connection<Busy> {
         let state = Busy {
-            mark: self.count.sent(),
+            sent_before: self.count.sent(),
             reused: self.state.reused,
         };
         self.with(state)
     }
 
-    /// Puts the connection to rest, for `idle_limit` at most.
+    /// Makes the connection idle. It expires after `idle_limit`.
     #[must_use]
-    pub fn rest(self, idle_limit: Duration) -> Connection<Idle> {
-        let proven_at = self.state.at;
+    pub fn into_idle(self, idle_limit: Duration) -> Connection<Idle> {
+        let verified_at = self.state.at;
         self.with(Idle {
-            proven_at,
+            verified_at,
             idle_limit,
         })
     }
 }
 
 impl Connection<Idle> {
-    /// The connection, if its last proof of life is at most `max_verified_age` old.
+    /// Returns the connection as verified, if its last response is at most
+    /// `max_verified_age` old.
     ///
     /// # Errors
     ///
-    /// Gives it back when the proof is too old.
-    pub fn proven(
+    /// Returns the connection unchanged when its last response is older.
+    pub fn into_verified(
         self,
         now: Instant,
         max_verified_age: Duration,
     ) -> Result<Connection<Verified>, Self> {
-        let at = self.state.proven_at;
+        let at = self.state.verified_at;
         if now.saturating_duration_since(at) <= max_verified_age {
             Ok(self.with(Verified { at, reused: true }))
         } else {
@@ -150,41 +158,43 @@
         }
     }
 
-    /// Begins a request that may be sent again if the connection turns out to
+    /// Starts a request that may be sent again if the connection turns out to
     /// be dead.
     #[must_use]
     pub fn start_idempotent(self) -> Connection<Busy> {
         let state = Busy {
-            mark: self.count.sent(),
+            sent_before: self.count.sent(),
             reused: true,
         };
         self.with(state)
     }
 
-    /// The connection takes another request. False when it was closed.
+    /// Waits until the connection accepts another request. Returns false when
+    /// it was closed, or is not ready in time.
     pub async fn is_ready(&mut self) -> bool {
         let ready = tokio::time::timeout(READY_TIMEOUT, self.sender.ready());
         matches!(ready.await, Ok(Ok(())))
     }
 
-    /// Time since the last proof of life.
+    /// Time since the connection was opened or delivered its last response.
     #[must_use]
     pub fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.state.proven_at)
+        now.saturating_duration_since(self.state.verified_at)
     }
 
-    /// The connection has waited longer than it may.
+    /// Whether the connection has exceeded its idle limit.
     #[must_use]
     pub fn is_expired(&self, now: Instant) -> bool {
         self.age(now) > self.state.idle_limit
     }
 
-    /// Closes the connection, and returns when it is closed.
+    /// Closes the connection, and returns once no further byte can leave.
     pub async fn close(mut self) {
         self.driver.stop().await;
     }
 
-    /// The backend server closed the connection.
+    /// Whether the connection has ended, for example because the backend server
+    /// closed it.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
@@ -192,12 +202,12 @@
 }
 
 impl Connection<Busy> {
-    /// Sends the request and waits for the headers of its answer.
+    /// Sends the request and waits for the headers of its response.
     ///
     /// # Errors
     ///
-    /// Fails when the connection ends before. [`Connection::close`] then tells
-    /// whether any byte left.
+    /// Fails when the connection ends first. [`Connection::close`] then returns
+    /// whether any byte of the request left.
     pub async fn send(
         &mut self,
         req: Request<RequestBody>,
@@ -205,19 +215,20 @@
         self.sender.send_request(req).await
     }
 
-    /// At least one byte of the request left so far.
+    /// Whether at least one byte of the request has left so far.
     #[must_use]
     pub fn has_sent_bytes(&self) -> bool {
-        self.count.sent() > self.state.mark
+        self.count.sent() > self.state.sent_before
     }
 
-    /// The connection had carried another request before.
+    /// Whether the connection had served another request before.
     #[must_use]
     pub fn is_reused(&self) -> bool {
         self.state.reused
     }
 
-    /// The whole answer arrived, which proves the connection alive.
+    /// Ends the request after its whole response has arrived, which verifies
+    /// that the connection works.
     #[must_use]
     pub fn finish(self, now: Instant) -> Connection<Verified> {
         self.with(Verified {
@@ -226,9 +237,9 @@
         })
     }
 
-    /// Closes the connection, and tells whether any byte of the request left.
+    /// Closes the connection, and returns whether any byte of the request left.
     pub async fn close(mut self) -> bool {
-        // Only when the task has ended can no further byte leave.
+        // Bytes may still leave until the task has released the socket.
         self.driver.stop().await;
         self.has_sent_bytes()
     }
@@ -253,14 +264,14 @@
 }
 
 impl Driver {
-    fn spawn<H: Send + 'static>(
+    fn spawn<G: Send + 'static>(
         mut connection: http1::Connection<TokioIo<CountingIo<TcpStream>>, RequestBody>,
-        held: H,
+        guard: G,
     ) -> Self {
         let (close, closing) = oneshot::channel::<()>();
         let (stopping, stopped) = oneshot::channel::<()>();
         tokio::spawn(async move {
-            let _held = held;
+            let _guard = guard;
             tokio::select! {
                 biased;
                 _ = closing => {}
@@ -268,7 +279,7 @@
             }
             let io = connection.into_parts().io.into_inner();
             drop(stopping);
-            linger(io).await;
+            close_gracefully(io).await;
         });
         Self {
             close: Some(close),
@@ -278,19 +289,19 @@
 
     async fn stop(&mut self) {
         self.close = None;
-        // Only the end of the sender is ever told.
+        // The task never sends a value; dropping its sender resolves this.
         let _ = (&mut self.stopped).await;
     }
 }
 
-/// Closes a connection, and waits until the backend server did the same,
-/// because it counts the connection until then.
-async fn linger(mut io: CountingIo<TcpStream>) {
+/// Shuts down the sending side, and waits until the backend server closes its
+/// side, because it counts the connection against its limit until then.
+async fn close_gracefully(mut io: CountingIo<TcpStream>) {
     let closing = async {
         io.shutdown().await?;
-        let mut rest = [0_u8; 4096];
-        while io.read(&mut rest).await? > 0 {}
+        let mut discarded = [0_u8; 4096];
+        while io.read(&mut discarded).await? > 0 {}
         Ok::<_, std::io::Error>(())
     };
-    let _ = tokio::time::timeout(LINGER, closing).await;
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, closing).await;
 }
--- a/crates/filbertgrade/src/connection/counting.rs
+++ b/crates/filbertgrade/src/connection/counting.rs
@@ -1,4 +1,5 @@
-//! A connection's I/O that notes which bytes really left.
+//! An I/O stream that counts the bytes it has sent, to tell whether any byte of
+//! a request left this VM.
 
 use std::io;
 use std::pin::Pin;
@@ -8,13 +9,13 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that the operating system took from a connection.
+/// Number of bytes of a connection that the operating system has accepted.
 #[derive(Clone, Debug, Default)]
 pub struct ByteCount {
     sent: Arc<AtomicU64>,
 }
 
-/// I/O that counts the bytes that left.
+/// Wraps an I/O stream and counts the bytes written to it.
 #[derive(Debug)]
 pub struct CountingIo<T> {
     io: T,
@@ -22,7 +23,7 @@
 }
 
 impl ByteCount {
-    /// Bytes that left so far.
+    /// Bytes sent since the connection was opened.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Acquire)
@@ -34,7 +35,7 @@
 }
 
 impl<T> CountingIo<T> {
-    /// Watches `io`.
+    /// Wraps `io`, with a count of zero.
     pub fn new(io: T) -> Self {
         Self {
             io,
@@ -42,7 +43,8 @@
         }
     }
 
-    /// The count, which stays readable after the connection has ended.
+    /// A handle to the count, which stays readable after the connection has
+    /// ended.
     #[must_use]
     pub fn count(&self) -> ByteCount {
         self.count.clone()
--- a/crates/filbertgrade/src/connection/frame.rs
+++ b/crates/filbertgrade/src/connection/frame.rs
@@ -1,4 +1,5 @@
-//! Frames on a byte stream: a 4-byte length, then one prost message.
+//! Framing of a byte stream: each frame is a 4-byte big-endian length, followed
+//! by one prost message.
 
 use bytes::{Buf, BufMut, BytesMut};
 use prost::Message;
@@ -7,33 +8,33 @@
 use super::traffic;
 use crate::wire::Frame;
 
-/// Longest frame accepted, in bytes without the length prefix.
+/// Largest frame, in bytes without the length prefix.
 ///
-/// An object of the platform is at most 1 MB, so one chunk always fits; a
-/// larger bound would let a faulty peer claim more memory for each link.
+/// An object in the platform's store has at most 1 MB, so one chunk always
+/// fits. A larger limit would let a faulty peer claim more memory on each link.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why a stream of frames ended.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum FrameError {
-    /// The peer announced a frame over [`MAX_FRAME_BYTES`].
+    /// A frame is larger than [`MAX_FRAME_BYTES`].
     #[error("frame of {length} bytes is over the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong {
-        /// Announced length in bytes.
+        /// Length in bytes, without the length prefix.
         length: usize,
     },
-    /// The bytes of a frame are not a message.
+    /// The content of a frame is not a valid message.
     #[error("corrupt frame: {0}")]
     Corrupt(#[from] prost::DecodeError),
-    /// The stream failed.
+    /// Reading from or writing to the stream failed.
     #[error("stream failed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Codec for [`Frame`].
+/// Encodes and decodes [`Frame`]s, and counts them in the traffic metrics.
 #[derive(Debug, Default)]
 pub struct FrameCodec;
 
@@ -42,19 +43,19 @@
     type Error = FrameError;
 
     fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
-        let Some(prefix) = buf.first_chunk::<LENGTH_BYTES>() else {
+        let Some(prefix) = buf.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*prefix) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong { length });
         }
-        if buf.len() < LENGTH_BYTES + length {
-            buf.reserve(LENGTH_BYTES + length - buf.len());
+        if buf.len() < LENGTH_PREFIX_BYTES + length {
+            buf.reserve(LENGTH_PREFIX_BYTES + length - buf.len());
             return Ok(None);
         }
-        buf.advance(LENGTH_BYTES);
-        traffic::received(LENGTH_BYTES + length);
+        buf.advance(LENGTH_PREFIX_BYTES);
+        traffic::count_received(LENGTH_PREFIX_BYTES + length);
         Ok(Some(Frame::decode(buf.split_to(length).freeze())?))
     }
 }
@@ -67,12 +68,12 @@
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong { length });
         }
-        buf.reserve(LENGTH_BYTES + length);
-        traffic::sent(LENGTH_BYTES + length);
+        buf.reserve(LENGTH_PREFIX_BYTES + length);
+        traffic::count_sent(LENGTH_PREFIX_BYTES + length);
         buf.put_slice(&(length as u32).to_be_bytes());
         frame
             .encode(buf)
-            .expect("the buffer has room for the encoded length");
+            .expect("the buffer was reserved for the encoded length");
         Ok(())
     }
 }
--- a/crates/filbertgrade/src/connection/link.rs
+++ b/crates/filbertgrade/src/connection/link.rs
@@ -1,4 +1,4 @@
-//! Request and reply over one framed connection, many calls at a time.
+//! Concurrent calls and their replies over one framed connection.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -17,38 +17,40 @@
 use crate::sync::lock;
 use crate::wire::{Body, Frame};
 
-/// Frames that may wait for a slow peer before senders wait too.
-const QUEUED_FRAMES: usize = 256;
+/// Capacity of the send queue of a connection. When a slow peer lets it fill
+/// up, senders wait.
+const SEND_QUEUE_FRAMES: usize = 256;
 
-/// Why a call to a peer gave no reply.
+/// Why a call to a peer received no reply.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// No connection could be made.
+    /// The connection could not be opened.
     #[error("cannot connect to {address}: {source}")]
     Connect {
         /// Address of the peer.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The connection ended before the reply.
+    /// The connection ended before the reply arrived.
     #[error("connection to {address} closed before the reply")]
     Closed {
         /// Address of the peer.
         address: SocketAddr,
     },
-    /// No reply within the time given.
+    /// No reply arrived within the timeout.
     #[error("no reply from {address} within {} ms", within.as_millis())]
     TimedOut {
         /// Address of the peer.
         address: SocketAddr,
-        /// Time waited.
+        /// The timeout of the call.
         within: Duration,
     },
 }
 
-/// A link to one peer. It connects on first use and again after a failure.
+/// A link to one peer. It connects on first use, and reconnects when it is used
+/// after a failure.
 ///
 /// Cloning is cheap; clones share the connection.
 #[derive(Clone, Debug)]
@@ -59,24 +61,27 @@
 #[derive(Debug)]
 struct Shared {
     address: SocketAddr,
-    /// Source address of the connection, so that a peer sees the VM's own IP.
+    /// Source address of the connection, so that the peer sees the VM's own IP.
     local: Option<IpAddr>,
+    /// Number of the next call; 0 marks notifications.
     next_call: AtomicU64,
     open: tokio::sync::Mutex<Option<OpenLink>>,
 }
 
+/// An open connection of a link.
 #[derive(Clone, Debug)]
 struct OpenLink {
     tx: mpsc::Sender<Frame>,
-    waiting: Arc<Mutex<Waiting>>,
+    pending: Arc<Mutex<PendingCalls>>,
 }
 
-/// Calls without a reply yet. `None` once the connection has ended, so that a
-/// call cannot be added after the last reply was dispatched.
-type Waiting = Option<HashMap<u64, oneshot::Sender<Body>>>;
+/// Calls that wait for their reply, by number. `None` once the connection has
+/// ended, so that no call can be added after the last reply was dispatched.
+type PendingCalls = Option<HashMap<u64, oneshot::Sender<Body>>>;
 
 impl PeerLink {
-    /// Makes a link to `address` that uses `local` as its source address.
+    /// Creates a link to `address` that uses `local` as its source address. It
+    /// does not connect yet.
     #[must_use]
     pub fn new(address: SocketAddr, local: Option<IpAddr>) -> Self {
         Self {
@@ -93,9 +98,9 @@
     ///
     /// # Errors
     ///
-    /// Fails when the peer cannot be reached, closes the connection or is
-    /// silent. A connection that timed out is dropped, because connections
-    /// can go silent for good while new ones work.
+    /// Fails when the peer cannot be reached, closes the connection or sends no
+    /// reply in time. After a timeout the connection is dropped, because a
+    /// connection can stop delivering data for good while new ones work.
     pub async fn call(&self, body: Body, within: Duration) -> Result<Body, LinkError> {
         let address = self.shared.address;
         match tokio::time::timeout(within, self.call_unbounded(body)).await {
@@ -109,9 +114,13 @@
         }
     }
 
-    /// Sends `body` without waiting for a reply, if a connection is open.
+    /// Sends `body` without waiting for a reply.
+    ///
+    /// # Errors
+    ///
+    /// Fails when the peer cannot be reached or the connection has ended.
     pub async fn notify(&self, body: Body) -> Result<(), LinkError> {
-        let link = self.opened().await?;
+        let link = self.open_link().await?;
         let frame = Frame {
             call: 0,
             body: Some(body),
@@ -121,14 +130,14 @@
 
     async fn call_unbounded(&self, body: Body) -> Result<Body, LinkError> {
         let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
-        let link = self.opened().await?;
+        let link = self.open_link().await?;
         let (tx, rx) = oneshot::channel();
-        match lock(&link.waiting).as_mut() {
-            Some(waiting) => waiting.insert(call, tx),
+        match lock(&link.pending).as_mut() {
+            Some(pending) => pending.insert(call, tx),
             None => return Err(self.closed()),
         };
-        let forget = ForgetOnDrop {
-            waiting: &link.waiting,
+        let remove_call = RemoveOnDrop {
+            pending: &link.pending,
             call,
         };
         let frame = Frame {
@@ -137,11 +146,12 @@
         };
         link.tx.send(frame).await.map_err(|_| self.closed())?;
         let reply = rx.await.map_err(|_| self.closed());
-        drop(forget);
+        drop(remove_call);
         reply
     }
 
-    async fn opened(&self) -> Result<OpenLink, LinkError> {
+    /// Returns the open connection, or opens one.
+    async fn open_link(&self) -> Result<OpenLink, LinkError> {
         let mut open = self.shared.open.lock().await;
         if let Some(link) = open.as_ref()
             && !link.tx.is_closed()
@@ -166,11 +176,11 @@
     }
 }
 
-/// Serves calls on every connection that `listener` accepts.
+/// Serves calls on every connection that `listener` accepts. Never returns.
 ///
-/// `handler` gets the peer's address and the content of each frame. What it
-/// returns is sent back as the reply; `None` sends nothing. A connection with
-/// a corrupt frame is closed and logged.
+/// `handler` receives the peer's address and the content of each frame. The
+/// body that it returns is sent back as the reply; for `None` nothing is sent.
+/// A connection with a corrupt frame is logged and closed.
 pub async fn serve_frames<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(SocketAddr, Body) -> F + Clone + Send + 'static,
@@ -183,6 +193,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed error={}", logfmt::value(&error));
+                // Avoids a busy loop while `accept` keeps failing.
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -196,7 +207,7 @@
 {
     let _ = stream.set_nodelay(true);
     let (mut sink, mut frames) = Framed::new(stream, FrameCodec).split();
-    let (tx, mut rx) = mpsc::channel::<Frame>(QUEUED_FRAMES);
+    let (tx, mut rx) = mpsc::channel::<Frame>(SEND_QUEUE_FRAMES);
     tokio::spawn(async move {
         while let Some(frame) = rx.recv().await {
             if sink.send(frame).await.is_err() {
@@ -225,14 +236,15 @@
             }
             Ok(_) => {}
             Err(error) => {
-                log_broken(peer, &error);
+                log_broken_link(peer, &error);
                 break;
             }
         }
     }
 }
 
-/// Opens a TCP connection, from `local` if it is given.
+/// Opens a TCP connection without delayed sending, from the address `local` if
+/// it is given.
 pub(crate) async fn connect(
     address: SocketAddr,
     local: Option<IpAddr>,
@@ -251,9 +263,9 @@
 
 fn spawn_link(stream: TcpStream) -> OpenLink {
     let (mut sink, mut frames) = Framed::new(stream, FrameCodec).split();
-    let (tx, mut rx) = mpsc::channel::<Frame>(QUEUED_FRAMES);
-    let waiting = Arc::new(Mutex::new(Some(HashMap::new())));
-    let replies = Arc::clone(&waiting);
+    let (tx, mut rx) = mpsc::channel::<Frame>(SEND_QUEUE_FRAMES);
+    let pending = Arc::new(Mutex::new(Some(HashMap::new())));
+    let replies = Arc::clone(&pending);
     tokio::spawn(async move {
         loop {
             tokio::select! {
@@ -267,38 +279,41 @@
                 },
             }
         }
-        // Dropping the senders wakes every call that still waits.
+        // Dropping the senders ends every call that still waits.
         *lock(&replies) = None;
     });
-    OpenLink { tx, waiting }
+    OpenLink { tx, pending }
 }
 
-fn dispatch(waiting: &Mutex<Waiting>, frame: Frame) {
-    let tx = lock(waiting)
+/// Passes a reply to the call that waits for it. Replies to calls that timed
+/// out are dropped.
+fn dispatch(pending: &Mutex<PendingCalls>, frame: Frame) {
+    let tx = lock(pending)
         .as_mut()
-        .and_then(|waiting| waiting.remove(&frame.call));
+        .and_then(|pending| pending.remove(&frame.call));
     if let (Some(tx), Some(body)) = (tx, frame.body) {
         let _ = tx.send(body);
     }
 }
 
-fn log_broken(peer: SocketAddr, error: &FrameError) {
+fn log_broken_link(peer: SocketAddr, error: &FrameError) {
     log::warn!(
         "event=link_broken peer={peer} error={}",
         logfmt::value(&error)
     );
 }
 
-/// Removes a call that nobody waits for any more.
-struct ForgetOnDrop<'a> {
-    waiting: &'a Mutex<Waiting>,
+/// Removes a pending call when the future that waits for its reply ends or is
+/// dropped.
+struct RemoveOnDrop<'a> {
+    pending: &'a Mutex<PendingCalls>,
     call: u64,
 }
 
-impl Drop for ForgetOnDrop<'_> {
+impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
-        if let Some(waiting) = lock(self.waiting).as_mut() {
-            waiting.remove(&self.call);
+        if let Some(pending) = lock(self.pending).as_mut() {
+            pending.remove(&self.call);
         }
     }
 }
--- a/crates/filbertgrade/src/connection/mod.rs
+++ b/crates/filbertgrade/src/connection/mod.rs
@@ -1,5 +1,5 @@
-//! What lives for a connection: framing, links between our processes,
-//! and connections to backend servers.
+//! Connections: the framing and the links between the processes of the system,
+//! and the connections to backend servers.
 
 mod backend;
 mod counting;
--- a/crates/filbertgrade/src/connection/pool.rs
+++ b/crates/filbertgrade/src/connection/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers that wait for the next request.
+//! A pool of reusable connections to backend servers.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -10,38 +10,43 @@
 use super::backend::{Busy, Connection, Idle, MAX_VERIFIED_AGE, Verified};
 use crate::sync::lock;
 
-/// How long a connection may wait for its next request. Backend servers close
-/// idle connections themselves, and a request on a closed one is lost.
+/// Default time for which a connection may stay idle. Backend servers close
+/// idle connections themselves, and a request sent on a closed connection is
+/// lost.
 const IDLE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time for a new connection to a backend server.
+/// Time limit for opening a connection to a backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections by endpoint.
+/// Open connections to backend servers, grouped by endpoint.
 #[derive(Debug)]
 pub struct Pool {
+    /// Source address of the connections.
     local: IpAddr,
     limits: PoolLimits,
     endpoints: Arc<Mutex<HashMap<SocketAddr, Endpoint>>>,
-    /// Wakes requests that wait for a connection.
+    /// Wakes requests that wait for a connection when one is put back or
+    /// closed.
     changed: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
 struct Endpoint {
-    /// Connections that are open or being opened.
+    /// Connections that are open or being opened, including the idle ones.
     open: usize,
+    /// Idle connections; the one used last is at the end.
     idle: Vec<Connection<Idle>>,
 }
 
-/// How long connections may wait for their next request.
+/// Limits on the reuse of idle connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Age of the last proof of life under a non-idempotent request. A longer
-    /// age saves connections; a request on a connection that went silent
-    /// meanwhile is lost.
+    /// Longest time since the last response on a connection for it to be used
+    /// for a non-idempotent request. A longer time opens fewer connections, but
+    /// loses more requests on connections that have failed unnoticed.
     pub max_verified_age: Duration,
-    /// Longest wait of a connection whose backend server tells no limit.
+    /// Longest idle time of a connection whose backend server announces no
+    /// limit.
     pub idle_limit: Duration,
 }
 
@@ -54,20 +59,21 @@
     }
 }
 
-/// What a request needs of a connection.
+/// Requirements of a request on its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckoutParams {
     /// Address of the backend server.
     pub endpoint: SocketAddr,
-    /// Connections that this VM may have open to it; at least 1.
+    /// Largest number of connections that this VM may have open to the backend
+    /// server. 0 is treated as 1.
     pub limit: usize,
     /// The request may be sent again if the connection turns out to be dead.
     pub idempotent: bool,
-    /// Until when the request must have been sent.
+    /// Time until which the request waits for a connection.
     pub deadline: Instant,
 }
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection was available. Nothing was sent.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum PoolError {
@@ -76,24 +82,29 @@
     Connect {
         /// Address of the backend server.
         endpoint: SocketAddr,
-        /// The cause.
+        /// The error of the connection attempt.
         source: std::io::Error,
     },
     /// All connections were busy until the deadline.
-    #[error("no connection to {0} became free")]
+    #[error("no connection to {0} became free before the deadline")]
     Full(SocketAddr),
 }
 
-/// What to do for a request that needs a connection.
+/// The next step for a request that needs a connection.
 #[derive(Debug)]
-enum Pick {
-    Try(Connection<Idle>),
+enum CheckoutStep {
+    /// Use this idle connection if it is still open.
+    Reuse(Connection<Idle>),
+    /// Open a new connection, which the guard counts.
     Open(OpenGuard),
+    /// The limit is reached, and the request cannot use this idle connection:
+    /// close it, so that another one can be opened.
     Close(Connection<Idle>),
+    /// The limit is reached, and no connection is idle.
     Wait,
 }
 
-/// Counts one open connection until it is dropped.
+/// Counts one open connection until the guard is dropped.
 #[derive(Debug)]
 struct OpenGuard {
     endpoint: SocketAddr,
@@ -102,13 +113,14 @@
 }
 
 impl Pool {
-    /// A pool whose connections come from `local`, with the default limits.
+    /// Creates a pool that connects from the address `local`, with the default
+    /// limits.
     #[must_use]
     pub fn new(local: IpAddr) -> Self {
         Self::with_limits(local, PoolLimits::default())
     }
 
-    /// A pool whose connections come from `local`.
+    /// Creates a pool that connects from the address `local`.
     #[must_use]
     pub fn with_limits(local: IpAddr, limits: PoolLimits) -> Self {
         Self {
@@ -119,28 +131,31 @@
         }
     }
 
-    /// Gets a connection and begins a request on it.
+    /// Returns a connection that is ready for the request. It may be an idle
+    /// one, a new one, or one that another request puts back before the
+    /// deadline.
     ///
     /// # Errors
     ///
-    /// Fails when the backend server accepts no connection, or all stay busy.
+    /// Fails when the backend server accepts no connection, or when all
+    /// connections stay busy until the deadline.
     pub async fn checkout(&self, params: &CheckoutParams) -> Result<Connection<Busy>, PoolError> {
         loop {
             let notified = self.changed.notified();
             tokio::pin!(notified);
-            // Changes from here on must not be missed.
+            // Registers before the state is read, so that no change is missed.
             notified.as_mut().enable();
-            match self.pick(params, Instant::now()) {
-                Pick::Try(connection) => {
-                    if let Some(connection) = self.start(connection, params).await {
+            match self.next_step(params, Instant::now()) {
+                CheckoutStep::Reuse(connection) => {
+                    if let Some(connection) = self.reuse(connection, params).await {
                         return Ok(connection);
                     }
                 }
-                Pick::Open(guard) => return Ok(self.open(params, guard).await?.start()),
-                Pick::Close(connection) => {
+                CheckoutStep::Open(guard) => return Ok(self.open(params, guard).await?.start()),
+                CheckoutStep::Close(connection) => {
                     connection.close().await;
                 }
-                Pick::Wait => {
+                CheckoutStep::Wait => {
                     let deadline = tokio::time::Instant::from_std(params.deadline);
                     tokio::time::timeout_at(deadline, notified)
                         .await
@@ -150,25 +165,27 @@
         }
     }
 
-    /// Takes back a connection that delivered a whole answer.
+    /// Returns a connection to the pool after it has delivered a whole
+    /// response.
     pub fn put_back(&self, connection: Connection<Verified>) {
         self.put_back_with_idle_limit(connection, self.limits.idle_limit);
     }
 
-    /// Takes back a connection that delivered a whole answer, and whose backend
-    /// server keeps it for longer than `idle_limit`.
+    /// Like [`Pool::put_back`], with an idle limit for this connection. It must
+    /// be shorter than the time for which the backend server keeps the
+    /// connection open.
     pub fn put_back_with_idle_limit(&self, connection: Connection<Verified>, idle_limit: Duration) {
         let endpoint = connection.endpoint();
         self.lock()
             .entry(endpoint)
             .or_default()
             .idle
-            .push(connection.rest(idle_limit));
+            .push(connection.into_idle(idle_limit));
         self.changed.notify_waiters();
     }
 
-    /// Closes all idle connections to an endpoint, because another connection
-    /// to it went silent.
+    /// Closes all idle connections to an endpoint. Used when another connection
+    /// to it has stopped delivering data, since these may have failed as well.
     pub fn close_idle(&self, endpoint: SocketAddr) {
         let idle = self
             .lock()
@@ -177,7 +194,7 @@
         drop(idle);
     }
 
-    /// Closes connections that waited too long.
+    /// Closes the connections that have exceeded their idle limit.
     pub fn close_expired(&self, now: Instant) {
         let mut expired = Vec::new();
         let mut endpoints = self.lock();
@@ -189,26 +206,27 @@
         drop(expired);
     }
 
-    fn pick(&self, params: &CheckoutParams, now: Instant) -> Pick {
+    fn next_step(&self, params: &CheckoutParams, now: Instant) -> CheckoutStep {
         let mut endpoints = self.lock();
         let endpoint = endpoints.entry(params.endpoint).or_default();
         let expired = endpoint.take_expired(now);
-        let pick = endpoint
+        let step = endpoint
             .take_usable(params, self.limits.max_verified_age, now)
-            .map(Pick::Try)
+            .map(CheckoutStep::Reuse)
             .or_else(|| {
                 (endpoint.open < params.limit.max(1)).then(|| self.count_open(params, endpoint))
             })
-            .or_else(|| endpoint.idle.pop().map(Pick::Close))
-            .unwrap_or(Pick::Wait);
+            .or_else(|| endpoint.idle.pop().map(CheckoutStep::Close))
+            .unwrap_or(CheckoutStep::Wait);
         drop(endpoints);
         drop(expired);
-        pick
+        step
     }
 
-    fn count_open(&self, params: &CheckoutParams, endpoint: &mut Endpoint) -> Pick {
+    /// Counts a connection that is about to be opened.
+    fn count_open(&self, params: &CheckoutParams, endpoint: &mut Endpoint) -> CheckoutStep {
         endpoint.open += 1;
-        Pick::Open(OpenGuard {
+        CheckoutStep::Open(OpenGuard {
             endpoint: params.endpoint,
             endpoints: Arc::clone(&self.endpoints),
             changed: Arc::clone(&self.changed),
@@ -231,7 +249,9 @@
             })
     }
 
-    async fn start(
+    /// Starts a request on an idle connection; `None` when the connection was
+    /// closed or its last response is too old for the request.
+    async fn reuse(
         &self,
         mut connection: Connection<Idle>,
         params: &CheckoutParams,
@@ -239,7 +259,7 @@
         if !connection.is_ready().await {
             return None;
         }
-        match connection.proven(Instant::now(), self.limits.max_verified_age) {
+        match connection.into_verified(Instant::now(), self.limits.max_verified_age) {
             Ok(connection) => Some(connection.start()),
             Err(connection) if params.idempotent => Some(connection.start_idempotent()),
             Err(_) => None,
@@ -252,7 +272,8 @@
 }
 
 impl Endpoint {
-    /// The newest idle connection, if the request may run on it.
+    /// Takes the most recently used idle connection, if the request may run on
+    /// it.
     fn take_usable(
         &mut self,
         params: &CheckoutParams,
@@ -264,6 +285,8 @@
         if usable { self.idle.pop() } else { None }
     }
 
+    /// Takes the idle connections that were closed or have exceeded their idle
+    /// limit.
     fn take_expired(&mut self, now: Instant) -> Vec<Connection<Idle>> {
         let (expired, idle) = std::mem::take(&mut self.idle)
             .into_iter()
--- a/crates/filbertgrade/src/connection/traffic.rs
+++ b/crates/filbertgrade/src/connection/traffic.rs
@@ -1,19 +1,23 @@
-//! Counts frames and bytes of the links between our processes.
+//! Counters of the frames and bytes on the links between the processes of the
+//! system.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::wire;
 
-/// Bytes include the length prefix, but neither TCP nor IP headers.
-static IN: Direction = Direction::new();
-static OUT: Direction = Direction::new();
+/// Received frames.
+static IN: Counters = Counters::new();
+/// Sent frames.
+static OUT: Counters = Counters::new();
 
-struct Direction {
+/// Totals of one direction since the process started.
+struct Counters {
     frames: AtomicU64,
+    /// Includes the length prefixes, but neither TCP nor IP headers.
     bytes: AtomicU64,
 }
 
-impl Direction {
+impl Counters {
     const fn new() -> Self {
         Self {
             frames: AtomicU64::new(0),
@@ -21,25 +25,27 @@
         }
     }
 
-    fn count(&self, bytes: usize) {
+    fn count_frame(&self, bytes: usize) {
         self.frames.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-pub(super) fn received(bytes: usize) {
-    IN.count(bytes);
+/// Counts a received frame of `bytes`, including its length prefix.
+pub(super) fn count_received(bytes: usize) {
+    IN.count_frame(bytes);
     metrics::counter!("link_frames_total", "direction" => "in").increment(1);
     metrics::counter!("link_bytes_total", "direction" => "in").increment(bytes as u64);
 }
 
-pub(super) fn sent(bytes: usize) {
-    OUT.count(bytes);
+/// Counts a sent frame of `bytes`, including its length prefix.
+pub(super) fn count_sent(bytes: usize) {
+    OUT.count_frame(bytes);
     metrics::counter!("link_frames_total", "direction" => "out").increment(1);
     metrics::counter!("link_bytes_total", "direction" => "out").increment(bytes as u64);
 }
 
-/// Frames and bytes of all links since the process started.
+/// Returns the totals of all links since the process started.
 pub(crate) fn total() -> wire::LinkTraffic {
     wire::LinkTraffic {
         frames_in: IN.frames.load(Ordering::Relaxed),
--- a/crates/filbertgrade/src/request/guard.rs
+++ b/crates/filbertgrade/src/request/guard.rs
@@ -1,4 +1,9 @@
-//! The guard of idempotency keys: at most one attempt of each key runs.
+//! The guard of idempotency keys, which lets at most one request run for each
+//! key.
+//!
+//! Before a request is sent, its key is claimed by a conditional write to the
+//! platform's store. Afterwards the record is updated with how the attempt
+//! ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,84 +20,94 @@
 use crate::platform::{Condition, Platform, PlatformError, Revision};
 use crate::process::tasks::Tasks;
 
-/// Longest time for a claim. The platform answers in milliseconds; when it
-/// does not, the caller learns soon that nothing ran.
+/// Time limit for a claim. The platform normally answers in milliseconds. When
+/// it does not, the caller should learn soon that nothing ran.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Calls that one claim makes at most: the create, and reading and writing
-/// again when answers are lost or others write at the same time.
-const CLAIM_ROUNDS: u32 = 6;
+/// Largest number of rounds of one claim. Each round writes the record, and
+/// reads it when the response was lost or another attempt wrote at the same
+/// time.
+const MAX_CLAIM_ROUNDS: u32 = 6;
 
-/// Longest time for recording how an attempt ended. A record that is not
-/// written leaves the key refused with outcome unknown, which is safe.
-const SETTLE_TIME: Duration = Duration::from_secs(20);
+/// Time limit for recording how an attempt ended. While the record is missing,
+/// further requests with the key are refused with an unknown outcome, which is
+/// safe.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Pause between tries to record how an attempt ended.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between tries to record how an attempt ended.
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest time that a refusal as not run waits for the release of its key.
-const RELEASE_WAIT: Duration = Duration::from_millis(500);
+/// Longest time for which a refusal as not run waits for the release of its
+/// key.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Team part of the names of attempts on routes that are open to all. It
-/// cannot be the name of a team.
-const OPEN_TEAM: &str = "@open";
+/// Replaces the team in the names of records on routes that need no API key. No
+/// team can have this name.
+const NO_TEAM: &str = "@open";
 
-/// What the platform holds of one idempotency key.
+/// The stored record of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// Id of the attempt that wrote the record.
+    /// Random id of the attempt that wrote the record.
     pub attempt: String,
-    /// SHA-256 of the request's method and path, in hexadecimal.
+    /// SHA-256 of the request's method, path and query, in hexadecimal.
     pub request: String,
-    /// How far the attempt got.
+    /// Progress of the attempt.
     pub state: AttemptRecordState,
-    /// Status of the answer, when the attempt is done.
+    /// Status of the response; `None` until the attempt is done.
     pub status: Option<u16>,
 }
 
-/// How far an attempt with an idempotency key got.
+/// Progress of an attempt with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptRecordState {
-    /// It may have run.
+    /// A backend server may have run the request.
     Started,
-    /// A backend server answered it.
+    /// A backend server ran the request and sent a response.
     Done,
-    /// It did not run; the key may be used again.
+    /// No backend server ran the request; the key may be used again.
     NotRun,
 }
 
-/// Claims idempotency keys in the platform.
+/// Claims idempotency keys in the platform's store.
 #[derive(Clone, Debug)]
 pub struct Guard {
     platform: Arc<dyn Platform>,
     tasks: Tasks,
 }
 
-/// The right of one attempt to run under its idempotency key.
+/// The exclusive right of one attempt to run under its idempotency key.
 ///
-/// Dropping a claim whose request was not sent releases the key.
+/// Dropping a claim whose request was not sent releases the key in the
+/// background.
 #[derive(Debug)]
 pub struct Claim {
     guard: Guard,
     name: String,
     record: AttemptRecord,
-    /// Revision of the record; `None` while it is not known that it exists.
+    /// Revision of the stored record; `None` while it is not known whether the
+    /// record was written.
     revision: Option<Revision>,
     may_have_run: bool,
+    /// The stored record needs no update when the claim is dropped.
     settled: bool,
 }
 
-/// What the record of a key means for a new attempt.
+/// State of a key for the attempt that claims it.
 #[derive(Debug)]
-enum Found {
-    Mine(Revision),
+enum ClaimState {
+    /// This attempt's own write took effect.
+    Claimed(Revision),
+    /// The key can be claimed by a write under this condition.
     Free(Condition),
-    Taken(Refusal),
+    /// Another attempt used the key; the request is refused.
+    Used(Refusal),
 }
 
 impl Guard {
-    /// A guard on `platform`, whose background work counts in `tasks`.
+    /// Creates a guard that stores records in `platform`, and runs its
+    /// background work in `tasks`.
     #[must_use]
     pub fn new(platform: Arc<dyn Platform>, tasks: Tasks) -> Self {
         Self { platform, tasks }
@@ -102,8 +117,8 @@
     ///
     /// # Errors
     ///
-    /// A refusal when the key was used before, or as not run when the store
-    /// does not confirm the claim in time.
+    /// Refuses the request when the key was used before, and as not run when
+    /// the store does not confirm the claim in time.
     pub async fn claim(
         &self,
         team: Option<&TeamName>,
@@ -125,10 +140,10 @@
             },
             revision: None,
             may_have_run: false,
-            // Nothing is written yet.
+            // Nothing has been written yet.
             settled: true,
         };
-        match tokio::time::timeout(CLAIM_TIMEOUT, claim.establish()).await {
+        match tokio::time::timeout(CLAIM_TIMEOUT, claim.acquire()).await {
             Ok(result) => result.map(|()| claim),
             Err(_) => Err(unavailable),
         }
@@ -136,12 +151,13 @@
 }
 
 impl Claim {
-    async fn establish(&mut self) -> Result<(), Refusal> {
+    /// Writes the record of the claim.
+    async fn acquire(&mut self) -> Result<(), Refusal> {
         let mut condition = Condition::Absent;
         let mut maybe_written = false;
-        for _ in 0..CLAIM_ROUNDS {
-            // From here on a write may take effect, even when this future is
-            // dropped, so that the key must be released.
+        for _ in 0..MAX_CLAIM_ROUNDS {
+            // From here on a write may take effect even if this future is
+            // dropped, so the key must be released then.
             self.settled = false;
             let written = self.write(condition).await;
             match written {
@@ -157,13 +173,13 @@
                     }
                 }
             }
-            match self.find().await {
-                Ok(Found::Mine(revision)) => {
+            match self.claim_state().await {
+                Ok(ClaimState::Claimed(revision)) => {
                     self.revision = Some(revision);
                     return Ok(());
                 }
-                Ok(Found::Free(next)) => condition = next,
-                Ok(Found::Taken(refusal)) => {
+                Ok(ClaimState::Free(next)) => condition = next,
+                Ok(ClaimState::Used(refusal)) => {
                     self.settled = true;
                     return Err(refusal);
                 }
@@ -173,29 +189,31 @@
         Err(Refusal::not_run(Cause::GuardUnavailable))
     }
 
-    /// The request is about to be sent; from now on it may run.
+    /// Marks the request as about to be sent; from now on it may run.
     pub fn sending(&mut self) {
         self.may_have_run = true;
     }
 
-    /// The attempts so far did not run after all.
+    /// Marks the request as not run, after all attempts so far failed without
+    /// running it.
     pub fn not_run(&mut self) {
         self.may_have_run = false;
     }
 
-    /// Records in the background that a backend server answered with `status`.
+    /// Records in the background that a backend server ran the request and
+    /// responded with `status`.
     pub fn done(mut self, status: u16) {
         self.record.state = AttemptRecordState::Done;
         self.record.status = Some(status);
         drop(self.settle_in_background());
     }
 
-    /// Frees the key, because no attempt ran. The release goes on in the
-    /// background when the store is slow.
+    /// Releases the key, because no backend server ran the request. When the
+    /// store is slow, the release continues in the background.
     pub async fn release(mut self) {
         self.record.state = AttemptRecordState::NotRun;
         let release = self.settle_in_background();
-        let _ = tokio::time::timeout(RELEASE_WAIT, release).await;
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, release).await;
     }
 
     fn settle_in_background(&mut self) -> JoinHandle<()> {
@@ -211,10 +229,11 @@
         self.guard.tasks.spawn(claim.settle())
     }
 
-    /// Replaces the own record until it is done or no longer the own one.
+    /// Tries to replace the record until it is written, or until the record
+    /// belongs to another attempt.
     async fn settle(mut self) {
-        let give_up = tokio::time::Instant::now() + SETTLE_TIME;
-        while tokio::time::Instant::now() < give_up {
+        let deadline = tokio::time::Instant::now() + SETTLE_TIMEOUT;
+        while tokio::time::Instant::now() < deadline {
             if let Some(revision) = self.revision {
                 match self.write(Condition::At(revision)).await {
                     Ok(_) => return,
@@ -230,10 +249,10 @@
                     continue;
                 }
                 Ok(Some(_)) => return,
-                // A create whose answer was lost may still take effect.
+                // A create whose response was lost may still take effect.
                 Ok(None) | Err(_) => {}
             }
-            tokio::time::sleep(SETTLE_PAUSE).await;
+            tokio::time::sleep(SETTLE_RETRY_DELAY).await;
         }
         log::warn!(
             "event=attempt_not_settled attempt={} state={:?}",
@@ -258,20 +277,20 @@
         Ok(Some((revision, record)))
     }
 
-    async fn find(&self) -> Result<Found, PlatformError> {
+    async fn claim_state(&self) -> Result<ClaimState, PlatformError> {
         let Some((revision, record)) = self.read().await? else {
-            return Ok(Found::Free(Condition::Absent));
+            return Ok(ClaimState::Free(Condition::Absent));
         };
         if record.attempt == self.record.attempt {
-            return Ok(Found::Mine(revision));
+            return Ok(ClaimState::Claimed(revision));
         }
         Ok(match record.state {
-            AttemptRecordState::NotRun => Found::Free(Condition::At(revision)),
+            AttemptRecordState::NotRun => ClaimState::Free(Condition::At(revision)),
             _ if record.request != self.record.request => {
-                Found::Taken(Refusal::not_run(Cause::IdempotencyKeyReused))
+                ClaimState::Used(Refusal::not_run(Cause::IdempotencyKeyReused))
             }
             AttemptRecordState::Started | AttemptRecordState::Done => {
-                Found::Taken(Refusal::already_attempted(record.status))
+                ClaimState::Used(Refusal::already_attempted(record.status))
             }
         })
     }
@@ -286,6 +305,7 @@
     }
 }
 
+/// Logs a failed store call and returns the refusal that follows from it.
 fn unavailable(name: &str, error: &PlatformError) -> Refusal {
     log::warn!(
         "event=guard_unavailable name={name} error={}",
@@ -294,8 +314,9 @@
     Refusal::not_run(Cause::GuardUnavailable)
 }
 
+/// Name of the record of a key. The key itself is stored only as a digest.
 fn object_name(team: Option<&TeamName>, key: &str) -> String {
-    let team = team.map_or(OPEN_TEAM, TeamName::as_str);
+    let team = team.map_or(NO_TEAM, TeamName::as_str);
     format!("attempts/{team}/{}", hex(&Sha256::digest(key.as_bytes())))
 }
 
--- a/crates/filbertgrade/src/request/limits.rs
+++ b/crates/filbertgrade/src/request/limits.rs
@@ -21,8 +21,8 @@
 /// that is shutting down waits for its running requests.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// Smallest remaining time with which a request is sent to a backend server. In
-/// less time the response cannot return.
+/// Shortest time in which a request can reach a backend server and its response
+/// can return. With less time left a request is not sent.
 pub const MIN_DEADLINE: Duration = Duration::from_millis(1);
 
 /// Largest length of an idempotency key in bytes.
--- a/crates/filbertgrade/src/request/refusal.rs
+++ b/crates/filbertgrade/src/request/refusal.rs
@@ -42,7 +42,8 @@
     KeyMissing,
     /// The API key is unknown or was withdrawn.
     KeyRefused,
-    /// The VM has lost contact for so long that its state may be outdated.
+    /// The VM has no state that is confirmed to be current, because it cannot
+    /// reach the store or the other VMs.
     Isolated,
     /// The team has used up its rate and burst.
     OverRate,
--- a/crates/filbertgrade/src/request/upload.rs
+++ b/crates/filbertgrade/src/request/upload.rs
@@ -96,17 +96,17 @@
         }
     }
 
-    /// Whether the announced size is at most [`MAX_REPLAYABLE_BYTES`]; false when the
-    /// caller announced no size.
+    /// Whether the announced size is at most [`MAX_REPLAYABLE_BYTES`]; false
+    /// when the caller announced no size.
     #[must_use]
     pub fn fits_buffer(&self) -> bool {
         let size = self.lock().size;
         size.is_some_and(|size| size <= MAX_REPLAYABLE_BYTES as u64)
     }
 
-    /// Reads the whole body, and keeps it buffered if it is at most
-    /// [`MAX_REPLAYABLE_BYTES`] long. A small body is read before the request takes a
-    /// slot, so that a slow caller occupies none.
+    /// Reads the whole body, and keeps it buffered if it has at most
+    /// [`MAX_REPLAYABLE_BYTES`] bytes. A small body is read before the request
+    /// takes a slot, so that a slow caller occupies none.
     ///
     /// # Errors
     ///
