--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -66,15 +66,18 @@
 }
 
 fn accept(node: &Arc<Node>, stream: TcpStream, close: watch::Receiver<bool>) {
-    if node.callers.count() >= MAX_CONNECTIONS {
+    if node.caller_connections.count() >= MAX_CONNECTIONS {
         // Closed unread, so that the caller knows that nothing ran.
-        log::warn!("event=connection_refused open={}", node.callers.count());
+        log::warn!(
+            "event=connection_refused open={}",
+            node.caller_connections.count()
+        );
         return;
     }
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=nodelay_failed error={}", logfmt::value(&error));
     }
-    let running = node.callers.begin();
+    let running = node.caller_connections.begin();
     let node = Arc::clone(node);
     tokio::spawn(async move {
         let _running = running;
@@ -147,7 +150,7 @@
     match SystemRequest::read(req.method(), req.uri()) {
         Some(SystemRequest::Lookup(region)) => {
             let ready = node.is_ready(now);
-            let vms = lock(&node.members).callers_of(region.as_ref(), ready, now);
+            let vms = lock(&node.members).lookup_addresses(region.as_ref(), ready, now);
             let ttl = LOOKUP_TTL.min(node.settings.load().bounds.lookup_ttl);
             answer::json(StatusCode::OK, lookup::response_body(&vms, ttl))
         }
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -45,13 +45,13 @@
             send_region(&node, &socket).await;
             next_of_region = now + INTERVAL;
         }
-        let newcomers = lock(&node.members).take_newcomers();
-        if now >= next || lock(&node.balancer).homes().has_news() {
+        let newcomers = lock(&node.members).take_new_members();
+        if now >= next || lock(&node.balancer).affinities().has_pending_updates() {
             send_once(&node, &socket, Reach::Region).await;
             next = now + INTERVAL;
         } else if !newcomers.is_empty() {
             let bytes = encode(&node, now);
-            let is_new = |member: &Member| newcomers.contains(&member.heartbeats);
+            let is_new = |member: &Member| newcomers.contains(&member.peer_address);
             send_to(&node, &socket, &bytes, is_new).await;
         }
         tokio::time::sleep(NEWS_INTERVAL).await;
@@ -91,7 +91,7 @@
     let peers: Vec<SocketAddr> = lock(&node.members)
         .peers()
         .filter(|member| reached(member))
-        .map(|member| member.heartbeats)
+        .map(|member| member.peer_address)
         .collect();
     for peer in peers {
         if let Err(error) = socket.send_to(bytes, peer).await {
@@ -108,7 +108,7 @@
 
 fn header(node: &Node, now: Instant) -> WireHeartbeat {
     let heartbeat = node.heartbeat(now);
-    let steady = lock(&node.evidence).steady_for(node.started, now);
+    let steady = lock(&node.store_health).available_for(node.started, now);
     WireHeartbeat {
         vm: node.settings.load().vm.as_str().to_owned(),
         incarnation: heartbeat.incarnation,
@@ -122,7 +122,9 @@
 
 fn encode(node: &Node, now: Instant) -> Vec<u8> {
     let demand = lock(&node.quotas).demand(now);
-    let homes = lock(&node.balancer).homes().take_news(MOST_HOMES);
+    let homes = lock(&node.balancer)
+        .affinities()
+        .take_pending_updates(MOST_HOMES);
     let mut wire = WireHeartbeat {
         homes: homes.into_iter().map(WireHome::from).collect(),
         wants_homes: now.saturating_duration_since(node.started) < ASK_TIME,
@@ -134,7 +136,7 @@
 }
 
 fn encode_region(node: &Node, now: Instant) -> Vec<u8> {
-    let state = lock(&node.members).region_state(node.is_ready(now), now);
+    let state = lock(&node.members).region_summary(node.is_ready(now), now);
     let names = |wanted: bool| {
         let named = state.iter().filter(|(_, ready)| *ready == wanted);
         named.map(|(vm, _)| vm.as_str().to_owned()).collect()
@@ -196,7 +198,7 @@
             Ok(Received::Question(question)) => {
                 tokens::answer(&node, &socket, from, &question).await;
             }
-            Ok(Received::Answer(answer)) => node.tokens.answered(&answer),
+            Ok(Received::Answer(answer)) => node.token_requests.answered(&answer),
             Err(error) => {
                 let error = logfmt::value(&error);
                 log::warn!("event=heartbeat_malformed bytes={len} error={error}");
@@ -210,12 +212,12 @@
     let address = lock(&node.members)
         .peers()
         .find(|member| member.vm == *vm)
-        .map(|member| member.heartbeats);
+        .map(|member| member.peer_address);
     let Some(address) = address else {
         return;
     };
     let now = Instant::now();
-    let homes = lock(&node.balancer).homes().all(now);
+    let homes = lock(&node.balancer).affinities().snapshot(now);
     for part in homes.chunks(MOST_HOMES) {
         let wire = WireHeartbeat {
             homes: part.iter().copied().map(WireHome::from).collect(),
@@ -244,19 +246,19 @@
         region,
     } = received;
     if let Some(state) = region {
-        lock(&node.members).heard_region(&state.region, &state.running, now);
-        lock(&node.quotas).heard_region(state.region, demand.unwrap_or_default(), now);
+        lock(&node.members).record_region_summary(&state.region, &state.running, now);
+        lock(&node.quotas).record_region_demand(state.region, demand.unwrap_or_default(), now);
         return None;
     }
-    if lock(&node.members).heard(&vm, heartbeat, now) {
+    if lock(&node.members).record_heartbeat(&vm, heartbeat, now) {
         log::info!(
             "event=peer_state vm={vm} ready={} leaving={}",
             heartbeat.ready,
             heartbeat.leaving,
         );
     }
-    store::heard_steady(node, store_steady, now);
-    lock(&node.balancer).heard_homes(homes, now);
+    store::record_peer_store_uptime(node, store_steady, now);
+    lock(&node.balancer).apply_affinities(homes, now);
     let mut asker = None;
     if wants_homes {
         let running = lock(&node.members).running(now);
@@ -266,9 +268,9 @@
         }
     }
     if heartbeat.leaving {
-        lock(&node.quotas).peer_leaves(&vm);
+        lock(&node.quotas).mark_peer_leaving(&vm);
     } else if let Some(demand) = demand {
-        lock(&node.quotas).heard(vm, demand, now);
+        lock(&node.quotas).record_peer_demand(vm, demand, now);
     }
     asker
 }
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::ServiceName;
-use filbertgrade_coord::steering::balancer::{Ask, NoPick, Pick, Target};
+use filbertgrade_coord::steering::balancer::{Pick, PickRefusal, PickRequest, Target};
 use filbertgrade_coord::steering::deployment::{Deployment, Route, Team};
 use filbertgrade_coord::steering::endpoint::EndpointKey;
 use filbertgrade_coord::steering::placement::object_hash;
-use filbertgrade_coord::steering::retry::second_attempt_after;
+use filbertgrade_coord::steering::retry::hedge_delay;
 use filbertgrade_platform::headers::RequestHead;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -113,14 +113,17 @@
         id_of(&self.head)
     }
 
-    fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> Ask<'a> {
-        let team_homes = self.team.as_ref().map_or(&[][..], |team| &team.homes);
-        Ask {
+    fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> PickRequest<'a> {
+        let team_homes = self
+            .team
+            .as_ref()
+            .map_or(&[][..], |team| &team.home_regions);
+        PickRequest {
             service: &self.service,
             object: self.object,
             sticky: self.route.sticky && self.has_object,
             idempotent: self.route.kind.is_idempotent(),
-            homes: [&self.route.homes, team_homes],
+            allowed_regions: [&self.route.home_regions, team_homes],
             tried,
             priority: self.priority(),
             target_latency: self.route.target_latency,
@@ -142,11 +145,11 @@
 
 /// Serves one request.
 pub(super) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
-    let _running = node.requests.begin();
+    let _running = node.running_requests.begin();
     let arrived = Instant::now();
     let (parts, body) = req.into_parts();
     let head = RequestHead::from(&parts.headers);
-    node.first_read().await;
+    node.wait_for_first_read().await;
     let call = match decide(node, parts, head.clone(), arrived) {
         Ok(call) => call,
         Err(refused) => return refuse(&head, &refused, arrived, "route=none"),
@@ -177,7 +180,7 @@
         .map(|object| object_hash(route.name.as_str(), object.as_bytes()));
     let has_object = spread.is_some();
     let spread = spread.unwrap_or_else(rand::random);
-    let service = route.part(spread).service.clone();
+    let service = route.select_service(spread).service.clone();
     let object = head.object.as_ref().map_or(spread, |object| {
         object_hash(service.as_str(), object.as_bytes())
     });
@@ -235,7 +238,7 @@
     if route.public || deployment.teams.is_empty() {
         return Ok(team.cloned());
     }
-    if !node.is_current(now) {
+    if !node.has_current_configuration(now) {
         return Err(Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER));
     }
     match (team, &head.key) {
@@ -247,7 +250,7 @@
 
 /// A VM whose configuration may be old cannot tell that something is unknown.
 fn unless_stale(node: &Node, cause: Cause, now: Instant) -> Refused {
-    if node.is_current(now) {
+    if node.has_current_configuration(now) {
         Refused::not_run(cause)
     } else {
         Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER)
@@ -307,7 +310,7 @@
         .load()
         .as_ref()
         .map_or(u64::MAX, |deployment| deployment.limits.body_bytes);
-    let read = node.bodies.read(body, most);
+    let read = node.body_budget.read(body, most);
     match tokio::time::timeout_at(call.deadline.into(), read).await {
         Ok(Ok(upload)) => Ok(upload),
         Ok(Err(BodyFault::TooLarge)) => Err(Refused::not_run(Cause::BodyTooLarge)),
@@ -337,11 +340,11 @@
             progress.last_target = Some(target.clone());
             Ok((target, body))
         }
-        Pick::Refuse(NoPick::NoEndpoint) => Err(Refused::come_back(
+        Pick::Refuse(PickRefusal::NoEndpoint) => Err(Refused::come_back(
             Cause::NoEndpoint,
             Duration::from_millis(500),
         )),
-        Pick::Refuse(NoPick::Busy(after)) => Err(Refused::come_back(Cause::Busy, after)),
+        Pick::Refuse(PickRefusal::Busy(after)) => Err(Refused::come_back(Cause::Busy, after)),
     }
 }
 
@@ -356,12 +359,12 @@
         (Some(deployment), Some(key)) => deployment.keys.contains_key(key),
         _ => false,
     };
-    known && node.is_current(now)
+    known && node.has_current_configuration(now)
 }
 
 fn second_at(call: &Call, target: &Target) -> Instant {
     if call.route.kind.is_idempotent() {
-        Instant::now() + second_attempt_after(target.expected, call.route.target_latency)
+        Instant::now() + hedge_delay(target.expected_latency, call.route.target_latency)
     } else {
         call.deadline + DEFAULT_TIME
     }
@@ -378,7 +381,7 @@
     if attempts >= call.route.max_attempts || !upload.is_replayable() {
         return None;
     }
-    if !lock(&node.balancer).try_repeat(&call.service, Instant::now()) {
+    if !lock(&node.balancer).try_take_retry(&call.service, Instant::now()) {
         return None;
     }
     let placed = place(node, call, upload, progress).ok()?;
@@ -423,7 +426,7 @@
     let reached = state > AttemptState::NotSent;
     if matches!(step, NextStep::Retry { .. })
         && reached
-        && !lock(&node.balancer).try_repeat(&call.service, now)
+        && !lock(&node.balancer).try_take_retry(&call.service, now)
     {
         situation.budget_available = false;
         situation.replayable = false;
@@ -474,12 +477,19 @@
         Ok(answer) => answer,
         Err(refused) => return refuse(&call.head, &refused, call.arrived, &context),
     };
-    let (load, slots, repeat, rank, expected) = progress
-        .last_target
-        .as_ref()
-        .map_or((0.0, 0, false, 0, 0), |t| {
-            (t.load, t.slots, t.repeat, t.rank, t.expected.as_millis())
-        });
+    let (load, slots, repeat, rank, expected) =
+        progress
+            .last_target
+            .as_ref()
+            .map_or((0.0, 0, false, 0, 0), |t| {
+                (
+                    t.load,
+                    t.slots,
+                    t.object_cached,
+                    t.rank,
+                    t.expected_latency.as_millis(),
+                )
+            });
     log::info!(
         "event=answered id={} {context} status={} ms={ms} expected_ms={expected} load={load:.1} slots={slots} repeat={repeat} rank={rank} object={:x}",
         call.id(),
