--- a/crates/filbertgrade/src/connection/watched.rs
+++ b/crates/filbertgrade/src/connection/counting.rs
@@ -1,4 +1,5 @@
-//! A connection's I/O that notes which bytes really left.
+//! An I/O stream that counts the bytes it has sent, to tell whether any byte of
+//! a request left this VM.
 
 use std::io;
 use std::pin::Pin;
@@ -8,21 +9,21 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that the operating system took from a connection.
+/// Number of bytes of a connection that the operating system has accepted.
 #[derive(Clone, Debug, Default)]
 pub struct ByteCount {
     sent: Arc<AtomicU64>,
 }
 
-/// I/O that counts the bytes that left.
+/// Wraps an I/O stream and counts the bytes written to it.
 #[derive(Debug)]
-pub struct WatchedIo<T> {
+pub struct CountingIo<T> {
     io: T,
     count: ByteCount,
 }
 
 impl ByteCount {
-    /// Bytes that left so far.
+    /// Bytes sent since the connection was opened.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Acquire)
@@ -33,8 +34,8 @@
     }
 }
 
-impl<T> WatchedIo<T> {
-    /// Watches `io`.
+impl<T> CountingIo<T> {
+    /// Wraps `io`, with a count of zero.
     pub fn new(io: T) -> Self {
         Self {
             io,
@@ -42,14 +43,15 @@
         }
     }
 
-    /// The count, which stays readable after the connection has ended.
+    /// A handle to the count, which stays readable after the connection has
+    /// ended.
     #[must_use]
     pub fn count(&self) -> ByteCount {
         self.count.clone()
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for WatchedIo<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for CountingIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -59,7 +61,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for WatchedIo<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for CountingIo<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -35,7 +35,7 @@
 use filbertgrade_coord::steering::retry::RetryConfig;
 use filbertgrade_coord::steering::settings::Settings;
 use filbertgrade_coord::steering::store_health::StoreHealth;
-use filbertgrade_platform::settings::SettingsFault;
+use filbertgrade_platform::settings::SettingsError;
 use indexmap::IndexMap;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
@@ -98,7 +98,7 @@
         /// The file.
         path: PathBuf,
         /// The cause.
-        source: SettingsFault,
+        source: SettingsError,
     },
     /// Neither the flag nor the environment variable names a settings file.
     #[error("no settings file: use --settings or set {0}")]
@@ -165,7 +165,7 @@
     fn new(settings: Settings, peers: Arc<UdpSocket>) -> Self {
         let incarnation = rand::random();
         let limits = PoolLimits {
-            proof_age: MAX_VERIFIED_AGE,
+            max_verified_age: MAX_VERIFIED_AGE,
             idle_limit: IDLE_LIMIT,
         };
         Self {
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -14,7 +14,7 @@
 use filbertgrade_coord::steering::members::Member;
 use filbertgrade_coord::steering::quota::Limit;
 use filbertgrade_coord::steering::registry::{Registry, RegistryChange};
-use filbertgrade_platform::objects::{self, Kind, NEWEST_CONFIGURATION};
+use filbertgrade_platform::objects::{self, CONFIGURATION_NAME, Kind};
 use filbertgrade_platform::store::{Event, Object, StoreClient, StoreError};
 use indexmap::IndexMap;
 use rand::Rng;
@@ -460,7 +460,7 @@
     }
 }
 
-fn log_invalid_object(kind: Kind, name: &str, error: &objects::ObjectFault) {
+fn log_invalid_object(kind: Kind, name: &str, error: &objects::ObjectError) {
     log::warn!(
         "event=object_ignored kind={} name={} cause={}",
         kind.as_str(),
@@ -499,7 +499,7 @@
 }
 
 fn read_configuration(node: &Node, object: &Object, revision: u64) {
-    if object.name != NEWEST_CONFIGURATION {
+    if object.name != CONFIGURATION_NAME {
         return;
     }
     match objects::configuration(&object.spec) {
