--- a/crates/filbertgrade-coord/examples/slot_turns.rs
+++ b/crates/filbertgrade-coord/examples/slot_turns.rs
@@ -6,11 +6,13 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::{EndpointName, TeamName, VmName};
-use filbertgrade_coord::slots::{Acquire, Origin, SlotBook, SlotConfig, SlotRequest, Temperature};
+use filbertgrade_coord::slots::{
+    AcquireOutcome, Origin, SlotConfig, SlotPool, SlotRequest, Temperature,
+};
 
 fn main() -> Result<(), Box<dyn Error>> {
     let now = Instant::now();
-    let mut book = SlotBook::new(1, SlotConfig::default());
+    let mut book = SlotPool::new(1, SlotConfig::default());
     book.set_endpoint(now, EndpointName::try_from("e1")?, 1, Temperature::Warm);
 
     let mut running = None;
@@ -23,12 +25,12 @@
             avoid: Vec::new(),
         };
         match book.acquire(now, request) {
-            Acquire::Granted(grant) => {
+            AcquireOutcome::Granted(grant) => {
                 println!("{team}: granted {}", grant.endpoint);
                 running = Some(grant.permit);
             }
-            Acquire::Queued(ticket) => println!("{team}: queued as {}", ticket.get()),
-            Acquire::Refused(cause) => println!("{team}: refused, {cause:?}"),
+            AcquireOutcome::Queued(ticket) => println!("{team}: queued as {}", ticket.get()),
+            AcquireOutcome::Refused(cause) => println!("{team}: refused, {cause:?}"),
         }
     }
     while let Some(permit) = running.take() {
--- a/crates/filbertgrade-coord/examples/two_vms.rs
+++ b/crates/filbertgrade-coord/examples/two_vms.rs
@@ -5,8 +5,8 @@
 use std::error::Error;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::Part;
-use filbertgrade_coord::ledger::{Admission, LedgerConfig, Lend, LoanAction, ShareLedger};
+use filbertgrade_coord::bucket::RateShare;
+use filbertgrade_coord::ledger::{Admission, LedgerConfig, LendOutcome, LoanAction, ShareLedger};
 use filbertgrade_coord::names::{TeamName, VmName};
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -21,22 +21,22 @@
         if millis % 11 == 0 && busy.admit(now) == Admission::Admitted {
             admitted += 1;
         }
-        if let Some(ask) = busy.ask(now)
-            && let Lend::Parcel(parcel) = idle.lend(now, &ask)
+        if let Some(request) = busy.request_loan(now)
+            && let LendOutcome::Lent(loan) = idle.lend(now, &request)
         {
-            println!("{millis} ms: borrowed {:.1}/s", parcel.part.rate());
-            busy.credit(now, &parcel);
+            println!("{millis} ms: borrowed {:.1}/s", loan.share.rate());
+            busy.credit(now, &loan);
         }
-        for action in busy.due(now) {
+        for action in busy.due_loan_actions(now) {
             match action {
                 LoanAction::Renew(renewal) => {
                     let answer = idle.renew(now, &renewal);
                     println!("{millis} ms: renewal {answer:?}");
-                    busy.renewed(now, &renewal, answer);
+                    busy.apply_renewal_reply(now, &renewal, answer);
                 }
-                LoanAction::GiveBack(returned) => {
+                LoanAction::Return(returned) => {
                     println!("{millis} ms: gave back {:.1} tokens", returned.tokens);
-                    idle.take_back(now, &returned);
+                    idle.accept_return(now, &returned);
                 }
             }
         }
@@ -53,7 +53,7 @@
     let team = TeamName::try_from("orders")?;
     let vm = VmName::try_from(vm)?;
     let mut ledger = ShareLedger::new(team, vm, 1, LedgerConfig::default(), start);
-    ledger.set_base(start, 1, Part::new(50.0, 10.0)?);
+    ledger.set_base(start, 1, RateShare::new(50.0, 10.0)?);
     ledger.allow_base(start, 1, start + Duration::from_secs(60));
     Ok(ledger)
 }
--- a/crates/filbertgrade-coord/src/ledger.rs
+++ b/crates/filbertgrade-coord/src/ledger.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use crate::bucket::{Part, TokenBucket};
+use crate::bucket::{RateShare, TokenBucket};
 use crate::names::{TeamName, VmName};
 
 /// The share ledger of one team at one VM.
@@ -32,16 +32,16 @@
     bucket: TokenBucket,
     table_version: u64,
     /// The base that the share table gives.
-    target: Part,
+    target: RateShare,
     /// The base is valid until this instant; `None` before the first permission.
     base_until: Option<Instant>,
     base_usable: bool,
     loans_out: BTreeMap<LoanId, LoanOut>,
     loans_in: BTreeMap<LoanId, LoanIn>,
     /// Asks whose loans would still run. Parcels of other asks are not credited.
-    asks: BTreeMap<u64, OpenAsk>,
-    asked_at: Option<Instant>,
-    next_ask: u64,
+    open_loan_requests: BTreeMap<u64, OpenLoanRequest>,
+    last_loan_request_at: Option<Instant>,
+    next_loan_request: u64,
     next_loan: u64,
     arrivals: ArrivalRate,
     waiting: u32,
@@ -54,15 +54,15 @@
     ///
     /// A lease under a few round trips expires before it is used. A long one
     /// keeps a crashed borrower's part unused for as long, and delays
-    /// [`usable_from`](LedgerConfig::start_hold).
+    /// [`usable_from`](LedgerConfig::start_delay).
     pub loan_lease: Duration,
     /// How much later than the lease the lender takes a loan back. Default 500 ms.
     ///
     /// It covers the difference in speed of two clocks over one lease. With
     /// too little, lender and borrower may use the same part at once.
-    pub margin: Duration,
+    pub reclaim_margin: Duration,
     /// Shortest time between two asks. Default 50 ms.
-    pub ask_interval: Duration,
+    pub request_interval: Duration,
     /// Time in which waiting requests should get a token. Default 500 ms, the
     /// longest time that a request waits. Less than 1 ms counts as 1 ms.
     pub backlog_target: Duration,
@@ -70,7 +70,7 @@
     ///
     /// With 0, slowly growing demand makes a loan per ask interval. A high
     /// fraction borrows what others may need.
-    pub smallest_ask: f64,
+    pub min_request_fraction: f64,
     /// Time constant of the measured arrival rate. Default 1 s. Less than 1 ms
     /// counts as 1 ms.
     pub demand_window: Duration,
@@ -90,10 +90,10 @@
     fn default() -> Self {
         Self {
             loan_lease: Duration::from_secs(2),
-            margin: Duration::from_millis(500),
-            ask_interval: Duration::from_millis(50),
+            reclaim_margin: Duration::from_millis(500),
+            request_interval: Duration::from_millis(50),
             backlog_target: Duration::from_millis(500),
-            smallest_ask: 0.2,
+            min_request_fraction: 0.2,
             demand_window: Duration::from_secs(1),
             demand_headroom: 1.1,
             lend_reserve: 1.0,
@@ -106,8 +106,8 @@
     /// Time after start before the base may be used.
     ///
     /// Loans of the VM's earlier incarnation have expired by then.
-    pub fn start_hold(&self) -> Duration {
-        self.loan_lease + self.margin
+    pub fn start_delay(&self) -> Duration {
+        self.loan_lease + self.reclaim_margin
     }
 }
 
@@ -124,7 +124,7 @@
 
 /// Identifies an ask. `incarnation` and `number` are the borrower's.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AskId {
+pub struct LoanRequestId {
     /// The VM that asks.
     pub borrower: VmName,
     /// The incarnation of the asking ledger.
@@ -135,31 +135,31 @@
 
 /// What a VM asks its peers to lend. The same ask may go to several peers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct LoanRequest {
     /// Names the ask in the parcels that answer it.
-    pub id: AskId,
+    pub id: LoanRequestId,
     /// Wanted capacity.
-    pub part: Part,
+    pub share: RateShare,
     /// Wanted tokens, at most the wanted burst.
     pub tokens: f64,
 }
 
 /// Capacity and tokens on their way from a lender to a borrower.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Parcel {
+pub struct Loan {
     /// The loan.
-    pub loan: LoanId,
+    pub id: LoanId,
     /// The ask that the loan answers.
-    pub ask: AskId,
+    pub request: LoanRequestId,
     /// Lent capacity.
-    pub part: Part,
+    pub share: RateShare,
     /// Lent tokens, at most the lent burst.
     pub tokens: f64,
 }
 
 /// Tokens of a loan that the borrower gives back early.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Return {
+pub struct LoanReturn {
     /// The loan that ends.
     pub loan: LoanId,
     /// Unused tokens, at most the lent burst.
@@ -202,9 +202,9 @@
 
 /// What a lender answers to an ask.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Lend {
+pub enum LendOutcome {
     /// Send the parcel. Its part and tokens are debited already.
-    Parcel(Parcel),
+    Lent(Loan),
     /// Nothing is lent.
     Declined(LendRefusal),
 }
@@ -226,7 +226,7 @@
 
 /// What a borrower did with a parcel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Credit {
+pub enum CreditOutcome {
     /// The loan is in use until this instant.
     Credited {
         /// End of the lease by the own clock.
@@ -242,7 +242,7 @@
 
 /// A lender's answer to a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Renewed {
+pub enum RenewalReply {
     /// The loan runs for another lease from the borrower's send time.
     Extended,
     /// The loan is unknown, or the lender needs it back when it ends.
@@ -252,10 +252,10 @@
 /// What a borrower does about one of its loans.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoanAction {
-    /// Ask the lender to extend it.
+    /// LoanRequest the lender to extend it.
     Renew(Renewal),
     /// Give it back, because demand no longer needs it.
-    GiveBack(Return),
+    Return(LoanReturn),
 }
 
 /// A plain copy of a ledger's state for operators and tests.
@@ -270,18 +270,18 @@
     /// Version of the share table in use.
     pub table_version: u64,
     /// The base that the table gives.
-    pub target: Part,
+    pub target: RateShare,
     /// The base that counts against this VM, loans out included. It is above
     /// `target` while a shrink waits for loans to return.
-    pub base: Part,
+    pub base: RateShare,
     /// Whether the base may be used.
     pub base_usable: bool,
     /// Loans to other VMs: id, borrower, part and when it is taken back.
-    pub loans_out: Vec<(LoanId, VmName, Part, Instant)>,
+    pub loans_out: Vec<(LoanId, VmName, RateShare, Instant)>,
     /// Loans from other VMs: id, part and when it expires.
-    pub loans_in: Vec<(LoanId, Part, Instant)>,
+    pub loans_in: Vec<(LoanId, RateShare, Instant)>,
     /// Capacity of the bucket.
-    pub part: Part,
+    pub share: RateShare,
     /// Tokens in the bucket.
     pub tokens: f64,
     /// Requests waiting for a token.
@@ -292,14 +292,14 @@
 
 #[derive(Clone, Debug)]
 struct LoanOut {
-    ask: AskId,
-    part: Part,
+    request: LoanRequestId,
+    share: RateShare,
     reclaim_at: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct LoanIn {
-    part: Part,
+    share: RateShare,
     expires_at: Instant,
     /// The newest renewal and its send time. An answer to an older one is
     /// ignored, because the lender may have counted its lease from earlier.
@@ -308,7 +308,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct OpenAsk {
+struct OpenLoanRequest {
     sent_at: Instant,
     credited: BTreeSet<LoanId>,
 }
@@ -338,17 +338,17 @@
             team,
             vm,
             incarnation,
-            usable_from: now + cfg.start_hold(),
-            bucket: TokenBucket::new(Part::ZERO, now),
+            usable_from: now + cfg.start_delay(),
+            bucket: TokenBucket::new(RateShare::ZERO, now),
             table_version: 0,
-            target: Part::ZERO,
+            target: RateShare::ZERO,
             base_until: None,
             base_usable: false,
             loans_out: BTreeMap::new(),
             loans_in: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            asked_at: None,
-            next_ask: 0,
+            open_loan_requests: BTreeMap::new(),
+            last_loan_request_at: None,
+            next_loan_request: 0,
             next_loan: 0,
             arrivals: ArrivalRate::new(cfg.demand_window, now),
             waiting: 0,
@@ -360,7 +360,7 @@
     ///
     /// Growth takes effect at once, without tokens. A shrink takes effect as
     /// far as the part is at hand, and for the rest as loans return.
-    pub fn set_base(&mut self, now: Instant, table_version: u64, base: Part) {
+    pub fn set_base(&mut self, now: Instant, table_version: u64, base: RateShare) {
         self.advance(now);
         if table_version < self.table_version {
             return;
@@ -440,9 +440,9 @@
     /// Requests that arrive for each one that the rate at hand admits.
     ///
     /// Above 1, requests arrive faster than they can be admitted.
-    pub fn overload(&mut self, now: Instant) -> f64 {
+    pub fn overload_ratio(&mut self, now: Instant) -> f64 {
         self.advance(now);
-        let rate = self.bucket.part().rate();
+        let rate = self.bucket.share().rate();
         if rate <= 0.0 {
             return f64::INFINITY;
         }
@@ -459,48 +459,48 @@
     ///
     /// The lease of every loan that answers it counts from `now`, so the ask
     /// must be sent at once.
-    pub fn ask(&mut self, now: Instant) -> Option<Ask> {
+    pub fn request_loan(&mut self, now: Instant) -> Option<LoanRequest> {
         self.advance(now);
-        if let Some(asked_at) = self.asked_at
-            && now < asked_at + self.cfg.ask_interval
+        if let Some(last_loan_request_at) = self.last_loan_request_at
+            && now < last_loan_request_at + self.cfg.request_interval
         {
             return None;
         }
-        let part = self.bucket.part();
+        let share = self.bucket.share();
         let demand = self.arrivals.per_second(now) * self.cfg.demand_headroom;
         let backlog = f64::from(self.waiting) / seconds(self.cfg.backlog_target);
         let tokens = (f64::from(self.waiting) - self.bucket.tokens()).max(0.0);
-        let missing = (demand + backlog - part.rate()).max(0.0);
+        let missing = (demand + backlog - share.rate()).max(0.0);
         // While the bucket is more than half full, a burst is not yet demand.
-        let draining = missing > 0.0 && self.bucket.tokens() < part.burst() / 2.0;
+        let draining = missing > 0.0 && self.bucket.tokens() < share.burst() / 2.0;
         if tokens <= 0.0 && !draining {
             return None;
         }
         // Small gaps would otherwise add up to many loans, each with renewals
         // of its own.
-        let rate = missing.max(demand * self.cfg.smallest_ask);
+        let rate = missing.max(demand * self.cfg.min_request_fraction);
         // A bucket needs a burst of one token to admit anything, and the
         // arrivals of an ask interval to ride out the time until the next ask.
-        let interval = self.cfg.ask_interval.as_secs_f64();
-        let floor = (demand * interval).max(1.0) - part.burst();
+        let interval = self.cfg.request_interval.as_secs_f64();
+        let floor = (demand * interval).max(1.0) - share.burst();
         let burst = tokens.max(floor).max(rate * interval);
-        let id = AskId {
+        let id = LoanRequestId {
             borrower: self.vm.clone(),
             incarnation: self.incarnation,
-            number: self.next_ask,
+            number: self.next_loan_request,
         };
-        self.next_ask += 1;
-        self.asked_at = Some(now);
-        self.asks.insert(
+        self.next_loan_request += 1;
+        self.last_loan_request_at = Some(now);
+        self.open_loan_requests.insert(
             id.number,
-            OpenAsk {
+            OpenLoanRequest {
                 sent_at: now,
                 credited: BTreeSet::new(),
             },
         );
-        Some(Ask {
+        Some(LoanRequest {
             id,
-            part: Part::new(rate, burst).unwrap_or_default(),
+            share: RateShare::new(rate, burst).unwrap_or_default(),
             tokens,
         })
     }
@@ -509,43 +509,47 @@
     ///
     /// Only the own base is lent, never a loan: a chain of loans would outlive
     /// the first lender's lease.
-    pub fn lend(&mut self, now: Instant, ask: &Ask) -> Lend {
+    pub fn lend(&mut self, now: Instant, request: &LoanRequest) -> LendOutcome {
         self.advance(now);
-        if ask.id.borrower == self.vm || !holds(ask.part, ask.tokens) {
-            return Lend::Declined(LendRefusal::Malformed);
+        if request.id.borrower == self.vm || !holds(request.share, request.tokens) {
+            return LendOutcome::Declined(LendRefusal::Malformed);
         }
-        if self.loans_out.values().any(|loan| loan.ask == ask.id) {
-            return Lend::Declined(LendRefusal::AlreadyLent);
+        if self
+            .loans_out
+            .values()
+            .any(|loan| loan.request == request.id)
+        {
+            return LendOutcome::Declined(LendRefusal::AlreadyLent);
         }
         let free = match self.free(now) {
             Ok(free) => free,
-            Err(refusal) => return Lend::Declined(refusal),
+            Err(refusal) => return LendOutcome::Declined(refusal),
         };
-        let part = ask.part.min(free.part);
-        if part.is_zero() {
-            return Lend::Declined(LendRefusal::OwnDemand);
+        let share = request.share.min(free.share);
+        if share.is_zero() {
+            return LendOutcome::Declined(LendRefusal::OwnDemand);
         }
-        let wanted = ask.tokens.min(free.tokens).min(part.burst());
+        let wanted = request.tokens.min(free.tokens).min(share.burst());
         let tokens = self.bucket.withdraw(wanted, now);
-        let loan = LoanId {
+        let id = LoanId {
             lender: self.vm.clone(),
             incarnation: self.incarnation,
             number: self.next_loan,
         };
         self.next_loan += 1;
         self.loans_out.insert(
-            loan.clone(),
+            id.clone(),
             LoanOut {
-                ask: ask.id.clone(),
-                part,
-                reclaim_at: now + self.cfg.loan_lease + self.cfg.margin,
+                request: request.id.clone(),
+                share,
+                reclaim_at: now + self.cfg.loan_lease + self.cfg.reclaim_margin,
             },
         );
         self.refit(now);
-        Lend::Parcel(Parcel {
-            loan,
-            ask: ask.id.clone(),
-            part,
+        LendOutcome::Lent(Loan {
+            id,
+            request: request.id.clone(),
+            share,
             tokens,
         })
     }
@@ -553,40 +557,40 @@
     /// Credits a parcel, once per loan, until a lease after its ask was sent.
     ///
     /// The caller then calls [`ShareLedger::retry`] for the waiting requests.
-    pub fn credit(&mut self, now: Instant, parcel: &Parcel) -> Credit {
+    pub fn credit(&mut self, now: Instant, loan: &Loan) -> CreditOutcome {
         self.advance(now);
-        if !holds(parcel.part, parcel.tokens) {
-            return Credit::Malformed;
+        if !holds(loan.share, loan.tokens) {
+            return CreditOutcome::Malformed;
         }
-        if parcel.ask.borrower != self.vm || parcel.ask.incarnation != self.incarnation {
-            return Credit::Late;
+        if loan.request.borrower != self.vm || loan.request.incarnation != self.incarnation {
+            return CreditOutcome::Late;
         }
-        let Some(ask) = self.asks.get_mut(&parcel.ask.number) else {
-            return Credit::Late;
+        let Some(request) = self.open_loan_requests.get_mut(&loan.request.number) else {
+            return CreditOutcome::Late;
         };
-        if !ask.credited.insert(parcel.loan.clone()) {
-            return Credit::Duplicate;
+        if !request.credited.insert(loan.id.clone()) {
+            return CreditOutcome::Duplicate;
         }
-        let until = ask.sent_at + self.cfg.loan_lease;
+        let until = request.sent_at + self.cfg.loan_lease;
         self.loans_in.insert(
-            parcel.loan.clone(),
+            loan.id.clone(),
             LoanIn {
-                part: parcel.part,
+                share: loan.share,
                 expires_at: until,
                 renewal: None,
                 renewals: 0,
             },
         );
-        self.bucket.add_part(parcel.part, parcel.tokens, now);
+        self.bucket.add_share(loan.share, loan.tokens, now);
         self.refit(now);
-        Credit::Credited { until }
+        CreditOutcome::Credited { until }
     }
 
     /// What to do about loans that are past half of their lease.
     ///
     /// Loans that demand needs are renewed and the others are given back. The
     /// lease of a renewal counts from `now`, so it must be sent at once.
-    pub fn due(&mut self, now: Instant) -> Vec<LoanAction> {
+    pub fn due_loan_actions(&mut self, now: Instant) -> Vec<LoanAction> {
         self.advance(now);
         let half = self.cfg.loan_lease / 2;
         // A renewal whose answer was lost is repeated after a quarter of a lease.
@@ -603,35 +607,35 @@
             if self.needs(&id, now) {
                 actions.extend(self.renewal(&id, now).map(LoanAction::Renew));
             } else {
-                actions.extend(self.give_back(now, &id).map(LoanAction::GiveBack));
+                actions.extend(self.return_loan(now, &id).map(LoanAction::Return));
             }
         }
         actions
     }
 
     /// Answers a borrower's renewal.
-    pub fn renew(&mut self, now: Instant, renewal: &Renewal) -> Renewed {
+    pub fn renew(&mut self, now: Instant, renewal: &Renewal) -> RenewalReply {
         self.advance(now);
         let own_demand =
             self.waiting > 0 || self.arrivals.per_second(now) > self.base_at_hand().rate();
         let shrinking = self.base() != self.target;
         if !self.base_usable || own_demand || shrinking {
-            return Renewed::Declined;
+            return RenewalReply::Declined;
         }
         let Some(loan) = self.loans_out.get_mut(&renewal.loan) else {
-            return Renewed::Declined;
+            return RenewalReply::Declined;
         };
-        let reclaim_at = now + self.cfg.loan_lease + self.cfg.margin;
+        let reclaim_at = now + self.cfg.loan_lease + self.cfg.reclaim_margin;
         loan.reclaim_at = loan.reclaim_at.max(reclaim_at);
-        Renewed::Extended
+        RenewalReply::Extended
     }
 
     /// Takes over a lender's answer to a renewal.
     ///
     /// An answer to an older renewal, or for a loan that has ended, changes nothing.
-    pub fn renewed(&mut self, now: Instant, renewal: &Renewal, answer: Renewed) {
+    pub fn apply_renewal_reply(&mut self, now: Instant, renewal: &Renewal, answer: RenewalReply) {
         self.advance(now);
-        if answer == Renewed::Declined {
+        if answer == RenewalReply::Declined {
             return;
         }
         if let Some(loan) = self.loans_in.get_mut(&renewal.loan)
@@ -644,47 +648,47 @@
     }
 
     /// Ends a loan early. Its share of the tokens is debited before it is sent.
-    pub fn give_back(&mut self, now: Instant, loan: &LoanId) -> Option<Return> {
+    pub fn return_loan(&mut self, now: Instant, loan: &LoanId) -> Option<LoanReturn> {
         self.advance(now);
         let ended = self.loans_in.remove(loan)?;
-        let whole = self.bucket.part().burst();
+        let whole = self.bucket.share().burst();
         let fraction = if whole > 0.0 {
-            (ended.part.burst() / whole).min(1.0)
+            (ended.share.burst() / whole).min(1.0)
         } else {
             0.0
         };
-        let wanted = (self.bucket.tokens() * fraction).min(ended.part.burst());
+        let wanted = (self.bucket.tokens() * fraction).min(ended.share.burst());
         let tokens = self.bucket.withdraw(wanted, now);
         self.refit(now);
-        Some(Return {
+        Some(LoanReturn {
             loan: loan.clone(),
             tokens,
         })
     }
 
     /// Ends all loans early, for a VM that is stopping.
-    pub fn give_back_all(&mut self, now: Instant) -> Vec<Return> {
+    pub fn return_all_loans(&mut self, now: Instant) -> Vec<LoanReturn> {
         let loans: Vec<LoanId> = self.loans_in.keys().cloned().collect();
         loans
             .iter()
-            .filter_map(|loan| self.give_back(now, loan))
+            .filter_map(|loan| self.return_loan(now, loan))
             .collect()
     }
 
     /// Takes back a loan that its borrower returned.
     ///
     /// Returns false, without effect, if the loan is unknown or was taken back before.
-    pub fn take_back(&mut self, now: Instant, returned: &Return) -> bool {
+    pub fn accept_return(&mut self, now: Instant, returned: &LoanReturn) -> bool {
         self.advance(now);
         let Some(loan) = self.loans_out.get(&returned.loan) else {
             return false;
         };
-        if !holds(loan.part, returned.tokens) {
+        if !holds(loan.share, returned.tokens) {
             return false;
         }
         self.loans_out.remove(&returned.loan);
         self.refit(now);
-        self.bucket.add_part(Part::ZERO, returned.tokens, now);
+        self.bucket.add_share(RateShare::ZERO, returned.tokens, now);
         true
     }
 
@@ -707,14 +711,21 @@
             loans_out: self
                 .loans_out
                 .iter()
-                .map(|(id, l)| (id.clone(), l.ask.borrower.clone(), l.part, l.reclaim_at))
+                .map(|(id, l)| {
+                    (
+                        id.clone(),
+                        l.request.borrower.clone(),
+                        l.share,
+                        l.reclaim_at,
+                    )
+                })
                 .collect(),
             loans_in: self
                 .loans_in
                 .iter()
-                .map(|(id, l)| (id.clone(), l.part, l.expires_at))
+                .map(|(id, l)| (id.clone(), l.share, l.expires_at))
                 .collect(),
-            part: self.bucket.part(),
+            share: self.bucket.share(),
             tokens: self.bucket.tokens(),
             waiting: self.waiting,
             demand: self.arrivals.per_second(now),
@@ -743,7 +754,8 @@
         }
         self.bucket.refill(now);
         let lease = self.cfg.loan_lease;
-        self.asks.retain(|_, ask| ask.sent_at + lease > now);
+        self.open_loan_requests
+            .retain(|_, request| request.sent_at + lease > now);
     }
 
     fn next_event(&self) -> Option<(Instant, Event)> {
@@ -770,27 +782,27 @@
         let base = if self.base_usable {
             self.base_at_hand()
         } else {
-            Part::ZERO
+            RateShare::ZERO
         };
-        let part = self
+        let share = self
             .loans_in
             .values()
-            .fold(base, |sum, loan| sum.plus(loan.part));
-        self.bucket.set_part(part, now);
+            .fold(base, |sum, loan| sum.plus(loan.share));
+        self.bucket.set_share(share, now);
     }
 
-    fn lent(&self) -> Part {
+    fn lent(&self) -> RateShare {
         self.loans_out
             .values()
-            .fold(Part::ZERO, |sum, loan| sum.plus(loan.part))
+            .fold(RateShare::ZERO, |sum, loan| sum.plus(loan.share))
     }
 
     /// The base that counts against this VM. What is lent cannot shrink.
-    fn base(&self) -> Part {
+    fn base(&self) -> RateShare {
         self.target.max(self.lent())
     }
 
-    fn base_at_hand(&self) -> Part {
+    fn base_at_hand(&self) -> RateShare {
         self.base().minus(self.lent())
     }
 
@@ -823,17 +835,17 @@
             return Err(LendRefusal::OwnDemand);
         }
         let spare = |whole: f64| (whole * fraction).min(whole - self.cfg.lend_reserve);
-        let part = Part::new(at_hand.rate() * fraction, spare(at_hand.burst()).max(0.0));
+        let share = RateShare::new(at_hand.rate() * fraction, spare(at_hand.burst()).max(0.0));
         Ok(Free {
-            part: part.unwrap_or_default(),
+            share: share.unwrap_or_default(),
             tokens: spare(self.bucket.tokens()).max(0.0),
         })
     }
 
     /// Reports whether demand exceeds what would remain without the loan.
     fn needs(&self, loan: &LoanId, now: Instant) -> bool {
-        let lent = self.loans_in.get(loan).map_or(Part::ZERO, |l| l.part);
-        let rest = self.bucket.part().minus(lent);
+        let lent = self.loans_in.get(loan).map_or(RateShare::ZERO, |l| l.share);
+        let rest = self.bucket.share().minus(lent);
         let demand = self.arrivals.per_second(now) * self.cfg.demand_headroom;
         self.waiting > 0 || demand > rest.rate()
     }
@@ -852,7 +864,7 @@
 /// What a lender can spare.
 #[derive(Clone, Copy, Debug)]
 struct Free {
-    part: Part,
+    share: RateShare,
     tokens: f64,
 }
 
@@ -890,6 +902,6 @@
 }
 
 /// Reports whether a part may hold that many tokens.
-fn holds(part: Part, tokens: f64) -> bool {
-    (0.0..=part.burst()).contains(&tokens)
+fn holds(share: RateShare, tokens: f64) -> bool {
+    (0.0..=share.burst()).contains(&tokens)
 }
--- a/crates/filbertgrade-coord/src/lib.rs
+++ b/crates/filbertgrade-coord/src/lib.rs
@@ -25,8 +25,8 @@
 //! ```
 //! use std::time::{Duration, Instant};
 //!
-//! use filbertgrade_coord::bucket::Part;
-//! use filbertgrade_coord::ledger::{Admission, Lend, LedgerConfig, ShareLedger};
+//! use filbertgrade_coord::bucket::RateShare;
+//! use filbertgrade_coord::ledger::{Admission, LedgerConfig, LendOutcome, ShareLedger};
 //! use filbertgrade_coord::names::{TeamName, VmName};
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -38,19 +38,19 @@
 //! };
 //! let mut lender = ledger("gent-a-1")?;
 //! let mut borrower = ledger("lyon-a-1")?;
-//! lender.set_base(start, 1, Part::new(100.0, 20.0)?);
+//! lender.set_base(start, 1, RateShare::new(100.0, 20.0)?);
 //! lender.allow_base(start, 1, start + Duration::from_secs(60));
-//! borrower.set_base(start, 1, Part::ZERO);
+//! borrower.set_base(start, 1, RateShare::ZERO);
 //! borrower.allow_base(start, 1, start + Duration::from_secs(60));
 //!
 //! // The base opens 2.5 s after the start and fills at 100 tokens a second.
 //! let now = start + Duration::from_secs(3);
 //! assert!(matches!(borrower.admit(now), Admission::Wait { .. }));
-//! let ask = borrower.ask(now).expect("a request is waiting");
-//! let Lend::Parcel(parcel) = lender.lend(now, &ask) else {
+//! let request = borrower.request_loan(now).expect("a request is waiting");
+//! let LendOutcome::Lent(loan) = lender.lend(now, &request) else {
 //!     panic!("the lender has no demand of its own");
 //! };
-//! borrower.credit(now, &parcel);
+//! borrower.credit(now, &loan);
 //! assert_eq!(borrower.retry(now), Admission::Admitted);
 //! # Ok(())
 //! # }
--- a/crates/filbertgrade-coord/src/share_table.rs
+++ b/crates/filbertgrade-coord/src/share_table.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::bucket::Part;
+use crate::bucket::RateShare;
 use crate::lease::FencingToken;
 use crate::names::VmName;
 
@@ -101,7 +101,7 @@
     }
 
     /// The part of a team's limit that the table gives to a VM.
-    pub fn part(&self, vm: &VmName, limit: Part) -> Part {
+    pub fn share(&self, vm: &VmName, limit: RateShare) -> RateShare {
         let units = self.units.get(vm).copied().unwrap_or(0);
         limit.scaled(f64::from(units) / f64::from(UNITS))
     }
--- a/crates/filbertgrade-coord/src/slots.rs
+++ b/crates/filbertgrade-coord/src/slots.rs
@@ -13,7 +13,7 @@
 /// Requests wait by team, and free slots go to the teams in turn, so a team
 /// that sends more than others waits longer than they do.
 #[derive(Clone, Debug)]
-pub struct SlotBook {
+pub struct SlotPool {
     cfg: SlotConfig,
     incarnation: u64,
     endpoints: BTreeMap<EndpointName, Endpoint>,
@@ -27,7 +27,7 @@
     run_time: Option<f64>,
 }
 
-/// Settings of a [`SlotBook`].
+/// Settings of a [`SlotPool`].
 #[derive(Clone, Debug)]
 pub struct SlotConfig {
     /// How long a permit runs without a renewal. Default 2 s.
@@ -127,7 +127,7 @@
 
 /// A grant to a request that was waiting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LateGrant {
+pub struct QueuedGrant {
     /// The ticket of the waiting request.
     pub ticket: Ticket,
     /// The request.
@@ -138,7 +138,7 @@
 
 /// The answer to a request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Acquire {
+pub enum AcquireOutcome {
     /// The slot is given out.
     Granted(Grant),
     /// The request waits; a later call returns its grant or its refusal.
@@ -167,7 +167,7 @@
         until: Instant,
     },
     /// The permit is unknown: it expired, or this book replaced another one.
-    /// A holder that still runs the request calls [`SlotBook::adopt`].
+    /// A holder that still runs the request calls [`SlotPool::adopt`].
     Unknown,
 }
 
@@ -180,7 +180,7 @@
     /// left; they were not run.
     pub refused: Vec<(Ticket, SlotRequest, SlotRefusal)>,
     /// Waiting requests that have a slot now.
-    pub granted: Vec<LateGrant>,
+    pub granted: Vec<QueuedGrant>,
 }
 
 /// A plain copy of one endpoint's state.
@@ -233,7 +233,7 @@
     request: SlotRequest,
 }
 
-impl SlotBook {
+impl SlotPool {
     /// Creates a book without endpoints.
     ///
     /// `incarnation` must differ between any two books for the same service and region.
@@ -260,7 +260,7 @@
         name: EndpointName,
         slots: u32,
         temperature: Temperature,
-    ) -> Vec<LateGrant> {
+    ) -> Vec<QueuedGrant> {
         let cold_since = (temperature == Temperature::Cold).then_some(now);
         self.endpoints
             .entry(name)
@@ -277,14 +277,14 @@
 
     /// Starts or ends the drain of an endpoint. A draining endpoint gets nothing new.
     ///
-    /// If it was the last one, the next [`SlotBook::expire`] refuses all
+    /// If it was the last one, the next [`SlotPool::expire`] refuses all
     /// waiting requests.
     pub fn set_draining(
         &mut self,
         now: Instant,
         name: &EndpointName,
         draining: bool,
-    ) -> Vec<LateGrant> {
+    ) -> Vec<QueuedGrant> {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.draining = draining;
         }
@@ -294,7 +294,7 @@
     /// Removes an endpoint. Its permits are forgotten.
     ///
     /// Fewer slots mean a smaller local reserve, which may make grants possible.
-    pub fn remove_endpoint(&mut self, now: Instant, name: &EndpointName) -> Vec<LateGrant> {
+    pub fn remove_endpoint(&mut self, now: Instant, name: &EndpointName) -> Vec<QueuedGrant> {
         self.endpoints.remove(name);
         self.permits.retain(|_, permit| permit.endpoint != *name);
         self.serve(now)
@@ -304,7 +304,7 @@
     /// starts a new ramp with one slot.
     ///
     /// Fewer slots mean a smaller local reserve, which may make grants possible.
-    pub fn cool_down(&mut self, now: Instant, name: &EndpointName) -> Vec<LateGrant> {
+    pub fn restart_ramp(&mut self, now: Instant, name: &EndpointName) -> Vec<QueuedGrant> {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.cold_since = Some(now);
         }
@@ -312,24 +312,24 @@
     }
 
     /// Grants a slot, queues the request, or refuses it.
-    pub fn acquire(&mut self, now: Instant, request: SlotRequest) -> Acquire {
+    pub fn acquire(&mut self, now: Instant, request: SlotRequest) -> AcquireOutcome {
         if self.is_closed_to(&request.avoid) {
-            return Acquire::Refused(SlotRefusal::NoEndpoint);
+            return AcquireOutcome::Refused(SlotRefusal::NoEndpoint);
         }
         if request.deadline <= now {
-            return Acquire::Refused(SlotRefusal::Deadline);
+            return AcquireOutcome::Refused(SlotRefusal::Deadline);
         }
         if let Some(endpoint) = self.pick(now, request.origin, &request.avoid)
             && !self.is_anyone_ahead(now)
         {
-            return Acquire::Granted(self.grant(now, endpoint));
+            return AcquireOutcome::Granted(self.grant(now, endpoint));
         }
         let waiting = self.waiting();
         if waiting >= self.cfg.max_waiting {
-            return Acquire::Refused(SlotRefusal::QueueFull);
+            return AcquireOutcome::Refused(SlotRefusal::QueueFull);
         }
         if now + self.expected_wait(&request.team) > request.deadline {
-            return Acquire::Refused(SlotRefusal::Deadline);
+            return AcquireOutcome::Refused(SlotRefusal::Deadline);
         }
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
@@ -337,13 +337,13 @@
             .entry(request.team.clone())
             .or_default()
             .push_back(Waiting { ticket, request });
-        Acquire::Queued(ticket)
+        AcquireOutcome::Queued(ticket)
     }
 
     /// Ends a permit, and returns the grants that its slot makes possible.
     ///
     /// An unknown permit changes nothing.
-    pub fn release(&mut self, now: Instant, permit: PermitId) -> Vec<LateGrant> {
+    pub fn release(&mut self, now: Instant, permit: PermitId) -> Vec<QueuedGrant> {
         if let Some(ended) = self.end(permit) {
             let ran = now.saturating_duration_since(ended.granted_at);
             self.note_run_time(ran);
@@ -424,7 +424,7 @@
         }
     }
 
-    /// The next instant at which [`SlotBook::expire`] has something to do.
+    /// The next instant at which [`SlotPool::expire`] has something to do.
     pub fn next_event_at(&self, now: Instant) -> Option<Instant> {
         // A ramp step that has passed is no future event, and still has slots to give.
         if self.is_anyone_ahead(now) {
@@ -481,7 +481,7 @@
 
     /// Reports whether a waiting request could have a free slot.
     ///
-    /// Slots that a ramp opened are given out by [`SlotBook::expire`], and a
+    /// Slots that a ramp opened are given out by [`SlotPool::expire`], and a
     /// new request must not take them before that.
     fn is_anyone_ahead(&self, now: Instant) -> bool {
         if self.queues.is_empty() {
@@ -493,7 +493,7 @@
     }
 
     /// Gives free slots to waiting requests, one team after the other.
-    fn serve(&mut self, now: Instant) -> Vec<LateGrant> {
+    fn serve(&mut self, now: Instant) -> Vec<QueuedGrant> {
         let mut granted = Vec::new();
         while let Some(late) = self.serve_one(now) {
             granted.push(late);
@@ -501,7 +501,7 @@
         granted
     }
 
-    fn serve_one(&mut self, now: Instant) -> Option<LateGrant> {
+    fn serve_one(&mut self, now: Instant) -> Option<QueuedGrant> {
         for turn in 0..self.queues.len() {
             let (team, queue) = self.queues.get_index(turn)?;
             // The reserve may hold back a remote request, and must not hold
@@ -523,7 +523,7 @@
                 // The team's next turn comes after all others.
                 self.queues.insert(team, queue);
             }
-            return Some(LateGrant {
+            return Some(QueuedGrant {
                 ticket: waiting.ticket,
                 request: waiting.request,
                 grant: self.grant(now, endpoint),
--- a/crates/filbertgrade-coord/src/spill.rs
+++ b/crates/filbertgrade-coord/src/spill.rs
@@ -58,14 +58,14 @@
     }
 
     /// Counts a request of the service.
-    pub fn request(&mut self, cfg: &SpillConfig, now: Instant) {
+    pub fn record_request(&mut self, cfg: &SpillConfig, now: Instant) {
         self.end_period(cfg, now);
         self.seen += 1;
         self.tokens = (self.tokens + self.level).min(cfg.allowance);
     }
 
     /// Reports whether one more request may leave its region, and counts it.
-    pub fn try_leave(&mut self, cfg: &SpillConfig, now: Instant) -> bool {
+    pub fn try_spill(&mut self, cfg: &SpillConfig, now: Instant) -> bool {
         self.end_period(cfg, now);
         let may_leave = self.tokens >= 1.0;
         if may_leave {
@@ -75,9 +75,9 @@
         may_leave
     }
 
-    /// Takes back a [`SpillLimit::try_leave`] whose request found no room in
+    /// Takes back a [`SpillLimit::try_spill`] whose request found no room in
     /// another region.
-    pub fn stayed(&mut self, cfg: &SpillConfig) {
+    pub fn cancel_spill(&mut self, cfg: &SpillConfig) {
         self.tokens = (self.tokens + 1.0).min(cfg.allowance);
         self.left = self.left.saturating_sub(1);
     }
--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -190,7 +190,7 @@
     /// Counts a request that a caller sent to a service.
     pub fn count_request(&mut self, service: &ServiceName, priority: u32, now: Instant) {
         if let Some(state) = self.services.get_mut(service) {
-            state.spill.request(&spill_config(&self.cfg), now);
+            state.spill.record_request(&spill_config(&self.cfg), now);
             state.budget.count_request(now);
             state.note_priority(priority, now);
         }
@@ -230,7 +230,7 @@
             if !leaves {
                 return Some(choice);
             }
-            if !service.spill.try_leave(&spill, now) {
+            if !service.spill.try_spill(&spill, now) {
                 return first.filter(|first| first.cost <= time_left);
             }
             service.left += 1;
--- a/crates/filbertgrade-coord/src/steering/cold.rs
+++ b/crates/filbertgrade-coord/src/steering/cold.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use crate::bucket::{Part, TokenBucket};
+use crate::bucket::{RateShare, TokenBucket};
 use crate::names::VmName;
 use crate::rendezvous;
 
@@ -28,9 +28,9 @@
     /// second from all VMs together.
     pub fn new(rate: f64, senders: usize, now: Instant) -> Self {
         let rate = if rate.is_finite() { rate.max(0.0) } else { 0.0 };
-        let part = Part::new(rate / senders.max(1) as f64, 1.0).unwrap_or(Part::ZERO);
+        let part = RateShare::new(rate / senders.max(1) as f64, 1.0).unwrap_or(RateShare::ZERO);
         let mut bucket = TokenBucket::new(part, now);
-        bucket.add_part(Part::ZERO, 1.0, now);
+        bucket.add_share(RateShare::ZERO, 1.0, now);
         Self { bucket }
     }
 
--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -23,7 +23,7 @@
 use self::asked::AskedPart;
 use self::division::Others;
 use self::held::HeldPart;
-use crate::bucket::{Part, TokenBucket};
+use crate::bucket::{RateShare, TokenBucket};
 use crate::names::{RegionName, TeamName, VmName};
 use crate::rendezvous;
 
@@ -354,8 +354,11 @@
         quota.asked.uncounted = quota.asked.uncounted.saturating_add(request.arrivals);
         if request.wait.is_none() {
             // A bucket under one token could never admit a request.
-            let part = Part::new(quota.limit.rate / vms, 1.0);
-            quota.asked.alone.set_part(part.unwrap_or(Part::ZERO), now);
+            let part = RateShare::new(quota.limit.rate / vms, 1.0);
+            quota
+                .asked
+                .alone
+                .set_share(part.unwrap_or(RateShare::ZERO), now);
             if quota.asked.alone.try_take(now) {
                 return Admission::Admitted;
             }
@@ -458,14 +461,18 @@
         let rate = self.limit.rate * share;
         // A bucket under one token could never admit a request.
         let burst = ((self.limit.burst + allowance) * share).max(1.0);
-        let part = Part::new(rate, burst).unwrap_or(Part::ZERO);
-        held.bucket.set_part(part, now);
+        let part = RateShare::new(rate, burst).unwrap_or(RateShare::ZERO);
+        held.bucket.set_share(part, now);
     }
 }
 
 /// A bucket with one token, so that the first request of a quiet team runs.
 fn one_token(now: Instant) -> TokenBucket {
-    let mut bucket = TokenBucket::new(Part::ZERO, now);
-    bucket.add_part(Part::new(0.0, 1.0).unwrap_or(Part::ZERO), 1.0, now);
+    let mut bucket = TokenBucket::new(RateShare::ZERO, now);
+    bucket.add_share(
+        RateShare::new(0.0, 1.0).unwrap_or(RateShare::ZERO),
+        1.0,
+        now,
+    );
     bucket
 }
--- a/crates/filbertgrade-coord/src/weights.rs
+++ b/crates/filbertgrade-coord/src/weights.rs
@@ -9,7 +9,7 @@
 pub const WEIGHT_UNITS: u32 = 10_000;
 
 /// Time for a published step to be in force everywhere.
-pub const IN_FORCE_AFTER: Duration = Duration::from_secs(8);
+pub const PROPAGATION_TIME: Duration = Duration::from_secs(8);
 
 /// The share of traffic that each region gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
     ///
     /// Returns `None` if no number is above zero. Rounding error stays below
     /// one unit for each region.
-    pub fn in_proportion(parts: &BTreeMap<RegionName, f64>) -> Option<Self> {
+    pub fn from_proportions(parts: &BTreeMap<RegionName, f64>) -> Option<Self> {
         let part = |value: &f64| value.max(0.0);
         let sum: f64 = parts.values().map(part).sum();
         if !(sum > 0.0 && sum.is_finite()) {
@@ -77,7 +77,7 @@
                 *sums.entry(region.clone()).or_default() += f64::from(*units);
             }
         }
-        Self::in_proportion(&sums)
+        Self::from_proportions(&sums)
     }
 
     /// The units of each region.
@@ -131,8 +131,8 @@
     time_to_live: Duration,
     now: Instant,
 ) -> WeightStep {
-    let pause = time_to_live + IN_FORCE_AFTER;
-    next_weights_after(current, target, cap, last_step, pause, now)
+    let pause = time_to_live + PROPAGATION_TIME;
+    next_weights_with_pause(current, target, cap, last_step, pause, now)
 }
 
 /// Decides like [`next_weights`], with the whole time between two steps given.
@@ -140,7 +140,7 @@
 /// A `pause` below the time to live of look-up answers plus the time in which
 /// a step comes into force lets two steps overlap, so that more than `cap`
 /// moves at once.
-pub fn next_weights_after(
+pub fn next_weights_with_pause(
     current: &Weights,
     target: &Weights,
     cap: u32,
--- a/crates/filbertgrade-coord/tests/allocation.rs
+++ b/crates/filbertgrade-coord/tests/allocation.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::lease::FencingToken;
 use filbertgrade_coord::names::{RegionName, VmName};
 use filbertgrade_coord::share_table::{
@@ -86,8 +86,8 @@
     assert_eq!(all.step(now), "wait for b");
     all.ack(&["b"]);
     assert_eq!(all.step(now), "a=3334 b=3333 c=3333");
-    let limit = Part::new(100.0, 10.0).unwrap();
-    let part = all.table.part(&VmName::try_from("c").unwrap(), limit);
+    let limit = RateShare::new(100.0, 10.0).unwrap();
+    let part = all.table.share(&VmName::try_from("c").unwrap(), limit);
     assert!((part.rate() - 33.33).abs() < 1e-9 && (part.burst() - 3.333).abs() < 1e-9);
 }
 
--- a/crates/filbertgrade-coord/tests/basics.rs
+++ b/crates/filbertgrade-coord/tests/basics.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::{Part, TokenBucket};
+use filbertgrade_coord::bucket::{RateShare, TokenBucket};
 use filbertgrade_coord::dissemination::{
     Member, NEIGHBOURS_PER_TIER, POLL_AFTER, StorePoll, is_relay, neighbours, pull_peers,
     store_poll,
@@ -36,14 +36,14 @@
 #[case(1.0, f64::NAN)]
 #[case(f64::INFINITY, 1.0)]
 fn parts_are_checked(#[case] rate: f64, #[case] burst: f64) {
-    assert!(Part::new(rate, burst).is_err());
+    assert!(RateShare::new(rate, burst).is_err());
 }
 
 // Guards against initial tokens, tokens over the burst, and a clock that goes back.
 #[test]
 fn bucket_starts_empty_and_fills_to_its_burst() {
     let start = Instant::now();
-    let mut bucket = TokenBucket::new(Part::new(10.0, 3.0).unwrap(), start);
+    let mut bucket = TokenBucket::new(RateShare::new(10.0, 3.0).unwrap(), start);
     assert!(!bucket.try_take(start));
     assert_eq!(
         bucket.time_until(2, start),
@@ -59,16 +59,16 @@
 #[test]
 fn bucket_keeps_tokens_within_a_smaller_burst() {
     let now = Instant::now();
-    let mut bucket = TokenBucket::new(Part::new(1.0, 2.0).unwrap(), now);
-    let part = Part::new(5.0, 4.0).unwrap();
-    bucket.add_part(part, 9.0, now);
+    let mut bucket = TokenBucket::new(RateShare::new(1.0, 2.0).unwrap(), now);
+    let part = RateShare::new(5.0, 4.0).unwrap();
+    bucket.add_share(part, 9.0, now);
     assert_eq!(bucket.tokens(), 6.0);
-    bucket.remove_part(part, now);
+    bucket.remove_share(part, now);
     assert_eq!(
-        (bucket.tokens(), bucket.part()),
-        (2.0, Part::new(1.0, 2.0).unwrap())
+        (bucket.tokens(), bucket.share()),
+        (2.0, RateShare::new(1.0, 2.0).unwrap())
     );
-    bucket.set_part(Part::new(0.0, 0.5).unwrap(), now);
+    bucket.set_share(RateShare::new(0.0, 0.5).unwrap(), now);
     assert_eq!((bucket.tokens(), bucket.time_until(1, now)), (0.5, None));
 }
 
--- a/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
+++ b/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use rstest::rstest;
 
 use crate::fleet::{Fleet, Op};
@@ -50,7 +50,7 @@
 /// VM 1 has borrowed from VM 0.
 const LOAN: [Op; 5] = [
     Op::Spend(1),
-    Op::Ask(1),
+    Op::RequestLoan(1),
     Op::Deliver(0),
     Op::Lose(0),
     Op::Deliver(0),
@@ -61,21 +61,21 @@
 // Two VMs borrow from the third; asks and parcels are late, lost or doubled.
 #[case::lend(
     &[],
-    &[Op::Spend(0), Op::Spend(1), Op::Ask(1), Op::Spend(2), Op::Ask(2), Op::Deliver(0),
+    &[Op::Spend(0), Op::Spend(1), Op::RequestLoan(1), Op::Spend(2), Op::RequestLoan(2), Op::Deliver(0),
       Op::Deliver(1), Op::Duplicate(0), Op::Lose(0), Op::Advance(1_100)],
     6
 )]
 // A loan is renewed or returned, or outlived by a pause or a crash.
 #[case::renew(
     &[Op::Advance(1_100), Op::Spend(1), Op::Due(1)],
-    &[Op::Spend(0), Op::Spend(1), Op::GiveBack(1), Op::Deliver(0), Op::Duplicate(0),
+    &[Op::Spend(0), Op::Spend(1), Op::ReturnLoans(1), Op::Deliver(0), Op::Duplicate(0),
       Op::Freeze(1), Op::Crash(0), Op::Crash(1), Op::Advance(700), Op::Advance(950)],
     6
 )]
 // The lender's base shrinks while its loan runs.
 #[case::shrink(
     &[],
-    &[Op::Allocate, Op::Feed(0), Op::Feed(1), Op::Feed(2), Op::GiveBack(1), Op::Deliver(0),
+    &[Op::Allocate, Op::Feed(0), Op::Feed(1), Op::Feed(2), Op::ReturnLoans(1), Op::Deliver(0),
       Op::Advance(1_100)],
     7
 )]
@@ -97,7 +97,7 @@
     #[case] ops: &[Op],
     #[case] depth: usize,
 ) {
-    let mut fleet = Fleet::new(Part::new(10.0, 4.0).unwrap(), &[8_000, 2_000, 0]);
+    let mut fleet = Fleet::new(RateShare::new(10.0, 4.0).unwrap(), &[8_000, 2_000, 0]);
     for op in [Op::Advance(1_000)].iter().chain(&LOAN).chain(before) {
         fleet.step(*op).unwrap();
     }
--- a/crates/filbertgrade-coord/tests/ledger/fleet.rs
+++ b/crates/filbertgrade-coord/tests/ledger/fleet.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::lease::FencingToken;
 use filbertgrade_coord::ledger::{
-    Admission, Ask, Credit, LedgerConfig, LedgerSnapshot, Lend, LoanAction, Parcel, Renewal,
-    Renewed, Return, ShareLedger,
+    Admission, CreditOutcome, LedgerConfig, LedgerSnapshot, LendOutcome, Loan, LoanAction,
+    LoanRequest, LoanReturn, Renewal, RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{TeamName, VmName};
 use filbertgrade_coord::share_table::{
@@ -21,11 +21,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Message {
-    Ask(Ask),
-    Loan(Parcel),
+    LoanRequest(LoanRequest),
+    Loan(Loan),
     Renew(VmName, Renewal),
-    Renewed(Renewal, Renewed),
-    Return(Return),
+    RenewalReply(Renewal, RenewalReply),
+    LoanReturn(LoanReturn),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,9 +33,9 @@
     Advance(u64),
     /// Admits until a request has to wait.
     Spend(usize),
-    Ask(usize),
+    RequestLoan(usize),
     Due(usize),
-    GiveBack(usize),
+    ReturnLoans(usize),
     Abandon(usize),
     Deliver(usize),
     Duplicate(usize),
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     pub(crate) now: Instant,
-    pub(crate) limit: Part,
+    pub(crate) limit: RateShare,
     pub(crate) ledgers: Vec<ShareLedger>,
     pub(crate) network: Vec<(usize, Message)>,
     pub(crate) admitted: Vec<Instant>,
@@ -67,7 +67,7 @@
 
 impl Fleet {
     /// A fleet whose hold after the start is over and whose base is in use.
-    pub(crate) fn new(limit: Part, units: &[u32]) -> Self {
+    pub(crate) fn new(limit: RateShare, units: &[u32]) -> Self {
         let start = Instant::now();
         let names: Vec<VmName> = (0..units.len()).map(vm).collect();
         let units = names.iter().cloned().zip(units.iter().copied()).collect();
@@ -84,7 +84,7 @@
             presence: names.iter().map(|n| (n.clone(), Presence::Live)).collect(),
             acks: BTreeMap::new(),
         };
-        fleet.now += LedgerConfig::default().start_hold();
+        fleet.now += LedgerConfig::default().start_delay();
         for i in 0..names.len() {
             fleet.apply(Op::Feed(i));
         }
@@ -126,9 +126,9 @@
                 self.presence.insert(vm(i % count), Presence::Live);
             }
             Op::Spend(i)
-            | Op::Ask(i)
+            | Op::RequestLoan(i)
             | Op::Due(i)
-            | Op::GiveBack(i)
+            | Op::ReturnLoans(i)
             | Op::Abandon(i)
             | Op::Feed(i) => {
                 if !self.frozen[i % count] {
@@ -151,31 +151,32 @@
                     self.admitted.push(now);
                 }
             }
-            Op::Ask(_) => {
-                if let Some(ask) = ledger.ask(now) {
+            Op::RequestLoan(_) => {
+                if let Some(request) = ledger.request_loan(now) {
                     for to in (0..self.ledgers.len()).filter(|to| *to != i) {
-                        self.network.push((to, Message::Ask(ask.clone())));
+                        self.network
+                            .push((to, Message::LoanRequest(request.clone())));
                     }
                 }
             }
             Op::Due(_) => {
-                for action in ledger.due(now) {
+                for action in ledger.due_loan_actions(now) {
                     self.network.push(match action {
                         LoanAction::Renew(r) => (index(&r.loan.lender), Message::Renew(vm(i), r)),
-                        LoanAction::GiveBack(r) => (index(&r.loan.lender), Message::Return(r)),
+                        LoanAction::Return(r) => (index(&r.loan.lender), Message::LoanReturn(r)),
                     });
                 }
             }
-            Op::GiveBack(_) => {
-                for r in ledger.give_back_all(now) {
+            Op::ReturnLoans(_) => {
+                for r in ledger.return_all_loans(now) {
                     self.network
-                        .push((index(&r.loan.lender), Message::Return(r)));
+                        .push((index(&r.loan.lender), Message::LoanReturn(r)));
                 }
             }
             Op::Abandon(_) => ledger.abandon(now),
             _ => {
                 let version = self.table.version();
-                ledger.set_base(now, version, self.table.part(&vm(i), self.limit));
+                ledger.set_base(now, version, self.table.share(&vm(i), self.limit));
                 assert!(ledger.allow_base(now, version, now + FRESH_FOR));
                 if let Some(version) = ledger.version_in_effect(now) {
                     self.acks.insert(vm(i), version);
@@ -191,23 +192,25 @@
         }
         let (now, ledger) = (self.now, &mut self.ledgers[to]);
         match message {
-            Message::Ask(ask) => {
-                if let Lend::Parcel(parcel) = ledger.lend(now, &ask) {
-                    let to = index(&ask.id.borrower);
-                    self.network.push((to, Message::Loan(parcel)));
+            Message::LoanRequest(request) => {
+                if let LendOutcome::Lent(loan) = ledger.lend(now, &request) {
+                    let to = index(&request.id.borrower);
+                    self.network.push((to, Message::Loan(loan)));
                 }
             }
-            Message::Loan(parcel) => {
-                ledger.credit(now, &parcel);
+            Message::Loan(loan) => {
+                ledger.credit(now, &loan);
             }
             Message::Renew(from, renewal) => {
                 let answer = ledger.renew(now, &renewal);
                 self.network
-                    .push((index(&from), Message::Renewed(renewal, answer)));
+                    .push((index(&from), Message::RenewalReply(renewal, answer)));
             }
-            Message::Renewed(renewal, answer) => ledger.renewed(now, &renewal, answer),
-            Message::Return(returned) => {
-                ledger.take_back(now, &returned);
+            Message::RenewalReply(renewal, answer) => {
+                ledger.apply_renewal_reply(now, &renewal, answer)
+            }
+            Message::LoanReturn(returned) => {
+                ledger.accept_return(now, &returned);
             }
         }
     }
@@ -232,11 +235,13 @@
         let (before, checked, at) = (self.tokens(), self.admitted.len(), self.now);
         self.apply(op);
         let held = self.held();
-        let sum = held.iter().fold(Part::ZERO, |sum, s| sum.plus(s.part));
+        let sum = held
+            .iter()
+            .fold(RateShare::ZERO, |sum, s| sum.plus(s.share));
         if sum.rate() > self.limit.rate() + EPSILON || sum.burst() > self.limit.burst() + EPSILON {
             return Err(format!("parts add up to {sum:?}"));
         }
-        if let Some(over) = held.iter().find(|s| s.tokens > s.part.burst() + EPSILON) {
+        if let Some(over) = held.iter().find(|s| s.tokens > s.share.burst() + EPSILON) {
             return Err(format!("more tokens than burst: {over:?}"));
         }
         let filled = self.limit.rate() * self.now.duration_since(at).as_secs_f64();
@@ -268,11 +273,11 @@
         let in_transit = self.network.iter().map(|(to, message)| {
             let mut ledger = self.ledgers[*to].clone();
             match message {
-                Message::Loan(parcel) => match ledger.credit(self.now, parcel) {
-                    Credit::Credited { .. } => parcel.tokens,
+                Message::Loan(loan) => match ledger.credit(self.now, loan) {
+                    CreditOutcome::Credited { .. } => loan.tokens,
                     _ => 0.0,
                 },
-                Message::Return(returned) if ledger.take_back(self.now, returned) => {
+                Message::LoanReturn(returned) if ledger.accept_return(self.now, returned) => {
                     returned.tokens
                 }
                 _ => 0.0,
--- a/crates/filbertgrade-coord/tests/ledger/random.rs
+++ b/crates/filbertgrade-coord/tests/ledger/random.rs
@@ -1,6 +1,6 @@
 //! Random interleavings of everything that a fleet of ledgers can meet.
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use proptest::prelude::{Just, ProptestConfig, Strategy, prop_oneof, proptest};
 use proptest::test_runner::TestCaseError;
 
@@ -13,9 +13,9 @@
         4 => (1..900u64).prop_map(Op::Advance),
         1 => (900..6_000u64).prop_map(Op::Advance),
         5 => vm.clone().prop_map(Op::Spend),
-        4 => vm.clone().prop_map(Op::Ask),
+        4 => vm.clone().prop_map(Op::RequestLoan),
         2 => vm.clone().prop_map(Op::Due),
-        1 => vm.clone().prop_map(Op::GiveBack),
+        1 => vm.clone().prop_map(Op::ReturnLoans),
         2 => vm.clone().prop_map(Op::Abandon),
         8 => message.clone().prop_map(Op::Deliver),
         2 => message.clone().prop_map(Op::Duplicate),
@@ -37,7 +37,7 @@
     // duplicates, crashes, pauses and table changes.
     #[test]
     fn no_interleaving_exceeds_the_limit(ops in proptest::collection::vec(op(), 1..150)) {
-        let mut fleet = Fleet::new(Part::new(20.0, 6.0).unwrap(), &[6_000, 3_000, 1_000]);
+        let mut fleet = Fleet::new(RateShare::new(20.0, 6.0).unwrap(), &[6_000, 3_000, 1_000]);
         for op in ops {
             fleet.step(op).map_err(TestCaseError::fail)?;
         }
--- a/crates/filbertgrade-coord/tests/ledger/script.rs
+++ b/crates/filbertgrade-coord/tests/ledger/script.rs
@@ -11,9 +11,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::ledger::{
-    Admission, Ask, LedgerConfig, Lend, LoanAction, Parcel, Renewal, Renewed, Return, ShareLedger,
+    Admission, LedgerConfig, LendOutcome, Loan, LoanAction, LoanRequest, LoanReturn, Renewal,
+    RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{TeamName, VmName};
 use goldenscript::{Command, Context};
@@ -23,11 +24,11 @@
     start: Instant,
     now: Instant,
     ledgers: BTreeMap<String, ShareLedger>,
-    ask: Option<Ask>,
-    parcel: Option<Parcel>,
+    request: Option<LoanRequest>,
+    loan: Option<Loan>,
     renewal: Option<Renewal>,
-    answer: Renewed,
-    returned: Option<Return>,
+    answer: RenewalReply,
+    returned: Option<LoanReturn>,
 }
 
 impl Runner {
@@ -51,8 +52,8 @@
         let mut out = format!(
             "base {} rate {:.2} burst {:.2} tokens {:.2} waiting {} in effect {version:?}",
             if s.base_usable { "usable" } else { "unusable" },
-            s.part.rate(),
-            s.part.burst(),
+            s.share.rate(),
+            s.share.burst(),
             s.tokens,
             s.waiting,
         );
@@ -93,7 +94,7 @@
                 let burst = args.next_pos().ok_or("burst")?.parse()?;
                 let version = args.next_pos().unwrap_or("1").parse()?;
                 self.ledger(vm)?
-                    .set_base(now, version, Part::new(rate, burst)?);
+                    .set_base(now, version, RateShare::new(rate, burst)?);
                 String::new()
             }
             "allow" => {
@@ -122,43 +123,43 @@
                 }
                 out.join("\n")
             }
-            "ask" => match self.ledger(vm)?.ask(now) {
+            "ask" => match self.ledger(vm)?.request_loan(now) {
                 None => "None".to_owned(),
-                Some(ask) => {
-                    let (rate, burst) = (ask.part.rate(), ask.part.burst());
-                    let out = format!("wants {rate:.2}/s {burst:.2} tokens {:.2}", ask.tokens);
-                    self.ask = Some(ask);
+                Some(request) => {
+                    let (rate, burst) = (request.share.rate(), request.share.burst());
+                    let out = format!("wants {rate:.2}/s {burst:.2} tokens {:.2}", request.tokens);
+                    self.request = Some(request);
                     out
                 }
             },
             "lend" => {
-                let ask = self.ask.clone().ok_or("no ask")?;
-                match self.ledger(vm)?.lend(now, &ask) {
-                    Lend::Declined(refusal) => format!("{refusal:?}"),
-                    Lend::Parcel(parcel) => {
-                        let (rate, burst) = (parcel.part.rate(), parcel.part.burst());
-                        let out = format!("{rate:.2}/s {burst:.2} tokens {:.2}", parcel.tokens);
-                        self.parcel = Some(parcel);
+                let request = self.request.clone().ok_or("no loan request")?;
+                match self.ledger(vm)?.lend(now, &request) {
+                    LendOutcome::Declined(refusal) => format!("{refusal:?}"),
+                    LendOutcome::Lent(loan) => {
+                        let (rate, burst) = (loan.share.rate(), loan.share.burst());
+                        let out = format!("{rate:.2}/s {burst:.2} tokens {:.2}", loan.tokens);
+                        self.loan = Some(loan);
                         out
                     }
                 }
             }
             "credit" => {
-                let parcel = self.parcel.clone().ok_or("no parcel")?;
-                let credit = self.ledger(vm)?.credit(now, &parcel);
+                let loan = self.loan.clone().ok_or("no loan")?;
+                let credit = self.ledger(vm)?.credit(now, &loan);
                 let debug = format!("{credit:?}");
                 debug.split(' ').next().unwrap_or_default().to_owned()
             }
             "due" => {
                 let mut out = Vec::new();
-                for action in self.ledger(vm)?.due(now) {
+                for action in self.ledger(vm)?.due_loan_actions(now) {
                     out.push(match action {
                         LoanAction::Renew(renewal) => {
                             let out = format!("renew {}", renewal.number);
                             self.renewal = Some(renewal);
                             out
                         }
-                        LoanAction::GiveBack(returned) => {
+                        LoanAction::Return(returned) => {
                             let out = format!("give back {:.2}", returned.tokens);
                             self.returned = Some(returned);
                             out
@@ -175,17 +176,17 @@
             "renewed" => {
                 let renewal = self.renewal.clone().ok_or("no renewal")?;
                 let answer = self.answer;
-                self.ledger(vm)?.renewed(now, &renewal, answer);
+                self.ledger(vm)?.apply_renewal_reply(now, &renewal, answer);
                 String::new()
             }
             "return" => {
-                let mut all = self.ledger(vm)?.give_back_all(now);
+                let mut all = self.ledger(vm)?.return_all_loans(now);
                 self.returned = all.pop();
                 format!("{:.2}", self.returned.as_ref().ok_or("no loan")?.tokens)
             }
             "take" => {
                 let returned = self.returned.clone().ok_or("nothing returned")?;
-                format!("{}", self.ledger(vm)?.take_back(now, &returned))
+                format!("{}", self.ledger(vm)?.accept_return(now, &returned))
             }
             "show" => self.show(vm)?,
             name => return Err(format!("unknown command {name}").into()),
@@ -205,10 +206,10 @@
         start,
         now: start,
         ledgers: BTreeMap::new(),
-        ask: None,
-        parcel: None,
+        request: None,
+        loan: None,
         renewal: None,
-        answer: Renewed::Declined,
+        answer: RenewalReply::Declined,
         returned: None,
     };
     goldenscript::run(&mut runner, Path::new(&path)).unwrap();
--- a/crates/filbertgrade-coord/tests/slots/main.rs
+++ b/crates/filbertgrade-coord/tests/slots/main.rs
@@ -11,8 +11,8 @@
 
 use filbertgrade_coord::names::{EndpointName, TeamName, VmName};
 use filbertgrade_coord::slots::{
-    Acquire, Grant, LateGrant, Origin, PermitId, SlotBook, SlotConfig, SlotRequest, Temperature,
-    Ticket,
+    AcquireOutcome, Grant, Origin, PermitId, QueuedGrant, SlotConfig, SlotPool, SlotRequest,
+    Temperature, Ticket,
 };
 use goldenscript::{Command, Context};
 use proptest::prelude::{ProptestConfig, any, proptest};
@@ -22,7 +22,7 @@
 struct Runner {
     start: Instant,
     now: Instant,
-    book: SlotBook,
+    book: SlotPool,
     tickets: BTreeMap<u64, Ticket>,
 }
 
@@ -32,7 +32,7 @@
         Self {
             start,
             now: start,
-            book: SlotBook::new(1, SlotConfig::default()),
+            book: SlotPool::new(1, SlotConfig::default()),
             tickets: BTreeMap::new(),
         }
     }
@@ -45,8 +45,8 @@
         )
     }
 
-    fn late(&self, granted: &[LateGrant]) -> String {
-        let line = |late: &LateGrant| {
+    fn late(&self, granted: &[QueuedGrant]) -> String {
+        let line = |late: &QueuedGrant| {
             let (team, ticket) = (&late.request.team, late.ticket.get());
             format!("{team} ticket {ticket}: {}\n", self.grant(&late.grant))
         };
@@ -105,7 +105,7 @@
                 self.late(&granted)
             }
             "cool" => {
-                let granted = self.book.cool_down(now, &EndpointName::try_from(first)?);
+                let granted = self.book.restart_ramp(now, &EndpointName::try_from(first)?);
                 self.late(&granted)
             }
             "acquire" => {
@@ -127,12 +127,12 @@
                 let mut out = String::new();
                 for _ in 0..count {
                     out += &match self.book.acquire(now, request.clone()) {
-                        Acquire::Granted(grant) => self.grant(&grant),
-                        Acquire::Queued(ticket) => {
+                        AcquireOutcome::Granted(grant) => self.grant(&grant),
+                        AcquireOutcome::Queued(ticket) => {
                             self.tickets.insert(ticket.get(), ticket);
                             format!("ticket {}", ticket.get())
                         }
-                        Acquire::Refused(cause) => format!("{cause:?}"),
+                        AcquireOutcome::Refused(cause) => format!("{cause:?}"),
                     };
                     out.push('\n');
                 }
@@ -189,7 +189,7 @@
     fn permits_and_slots_agree(ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 1..200)) {
         let fail = |fault: String| Err(TestCaseError::fail(fault));
         let mut now = Instant::now();
-        let mut book = SlotBook::new(1, SlotConfig::default());
+        let mut book = SlotPool::new(1, SlotConfig::default());
         let names = ["e-0", "e-1", "e-2"].map(|n| EndpointName::try_from(n).unwrap());
         let (mut queued, mut answered) = (0usize, 0usize);
         for (op, a, b) in ops {
@@ -202,7 +202,7 @@
                 }
                 1 if b % 4 == 0 => answered += book.remove_endpoint(now, name).len(),
                 1 => answered += book.set_draining(now, name, b % 2 == 0).len(),
-                2 => answered += book.cool_down(now, name).len(),
+                2 => answered += book.restart_ramp(now, name).len(),
                 3 => {
                     now += Duration::from_millis(u64::from(a) * 4);
                     let expired = book.expire(now);
@@ -223,7 +223,7 @@
                         deadline: now + Duration::from_millis(u64::from(b) * 20),
                         avoid: Vec::new(),
                     };
-                    if let Acquire::Queued(_) = book.acquire(now, request) {
+                    if let AcquireOutcome::Queued(_) = book.acquire(now, request) {
                         queued += 1;
                     }
                 }
--- a/crates/filbertgrade-coord/tests/spill.rs
+++ b/crates/filbertgrade-coord/tests/spill.rs
@@ -12,8 +12,8 @@
 fn period(limit: &mut SpillLimit, cfg: &SpillConfig, now: &mut Instant, want: f64) -> f64 {
     let mut left = 0;
     for n in 0..1000 {
-        limit.request(cfg, *now);
-        if f64::from(n % 100) < want * 100.0 && limit.try_leave(cfg, *now) {
+        limit.record_request(cfg, *now);
+        if f64::from(n % 100) < want * 100.0 && limit.try_spill(cfg, *now) {
             left += 1;
         }
         *now += PERIOD / 1000;
@@ -50,8 +50,8 @@
     let now = Instant::now();
     let mut limit = SpillLimit::new(&cfg, now);
     for _ in 0..10 {
-        limit.request(&cfg, now);
-        assert!(limit.try_leave(&cfg, now));
+        limit.record_request(&cfg, now);
+        assert!(limit.try_spill(&cfg, now));
     }
 }
 
@@ -62,9 +62,9 @@
     let now = Instant::now();
     let mut limit = SpillLimit::new(&cfg, now);
     for _ in 0..100 {
-        limit.request(&cfg, now);
-        assert!(limit.try_leave(&cfg, now));
-        limit.stayed(&cfg);
+        limit.record_request(&cfg, now);
+        assert!(limit.try_spill(&cfg, now));
+        limit.cancel_spill(&cfg);
     }
 }
 
@@ -86,12 +86,12 @@
         let (mut level, mut changed) = (limit.level(), now);
         for (ms, action) in steps {
             now += Duration::from_millis(ms);
-            limit.request(&cfg, now);
+            limit.record_request(&cfg, now);
             allowed += limit.level();
-            if action > 0 && limit.try_leave(&cfg, now) {
+            if action > 0 && limit.try_spill(&cfg, now) {
                 left += 1.0;
                 if action == 3 {
-                    limit.stayed(&cfg);
+                    limit.cancel_spill(&cfg);
                     left -= 1.0;
                 }
             }
--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -9,9 +9,10 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::{Part, TokenBucket};
+use filbertgrade_coord::bucket::{RateShare, TokenBucket};
 use filbertgrade_coord::ledger::{
-    Admission, Ask, LedgerConfig, Lend, LoanAction, Parcel, Renewal, Renewed, Return, ShareLedger,
+    Admission, LedgerConfig, LendOutcome, Loan, LoanAction, LoanRequest, LoanReturn, Renewal,
+    RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{NameError, TeamName, VmName};
 use filbertgrade_standins::caller::{Limit, over_rate};
@@ -61,11 +62,11 @@
 }
 
 enum Message {
-    Ask(Ask),
-    Parcel(Parcel),
-    Return(Return),
+    Ask(LoanRequest),
+    Parcel(Loan),
+    Return(LoanReturn),
     Renew(Renewal),
-    Renewed(Renewal, Renewed),
+    Renewed(Renewal, RenewalReply),
     Admitted(u32),
 }
 
@@ -254,21 +255,21 @@
             return;
         };
         let mut out = Vec::new();
-        for action in ledger.due(now) {
+        for action in ledger.due_loan_actions(now) {
             match action {
                 LoanAction::Renew(r) => out.push((vm_of(&r.loan.lender), Message::Renew(r))),
-                LoanAction::GiveBack(r) => out.push((vm_of(&r.loan.lender), Message::Return(r))),
+                LoanAction::Return(r) => out.push((vm_of(&r.loan.lender), Message::Return(r))),
             }
         }
-        if let Some(ask) = ledger.ask(now) {
+        if let Some(ask) = ledger.request_loan(now) {
             let fraction = 1.0 / PEERS_PER_ASK as f64;
-            let part = ask.part.scaled(fraction);
+            let share = ask.share.scaled(fraction);
             for n in 0..PEERS_PER_ASK {
                 let peer = (vm + 1 + (cell.asks * PEERS_PER_ASK + n) % (VMS - 1)) % VMS;
-                let ask = Ask {
+                let ask = LoanRequest {
                     id: ask.id.clone(),
-                    part,
-                    tokens: (ask.tokens * fraction).ceil().min(part.burst()),
+                    share,
+                    tokens: (ask.tokens * fraction).ceil().min(share.burst()),
                 };
                 out.push((peer, Message::Ask(ask)));
             }
@@ -341,7 +342,7 @@
 
 impl Limiter {
     fn new(scheme: Scheme, vm: usize, team: usize, now: Instant) -> Result<Self, NameError> {
-        let limit = Part::new(TEAMS[team], TEAMS[team]).unwrap_or_default();
+        let limit = RateShare::new(TEAMS[team], TEAMS[team]).unwrap_or_default();
         let share = limit.scaled(1.0 / VMS as f64);
         Ok(match scheme {
             Scheme::Static => Limiter::Bucket(TokenBucket::new(share, now)),
@@ -399,7 +400,7 @@
             }
             (Limiter::Ledger(ledger), message) => match message {
                 Message::Ask(ask) => {
-                    if let Lend::Parcel(parcel) = ledger.lend(now, &ask) {
+                    if let LendOutcome::Lent(parcel) = ledger.lend(now, &ask) {
                         return Some(Message::Parcel(parcel));
                     }
                 }
@@ -407,13 +408,15 @@
                     ledger.credit(now, &parcel);
                 }
                 Message::Return(returned) => {
-                    ledger.take_back(now, &returned);
+                    ledger.accept_return(now, &returned);
                 }
                 Message::Renew(renewal) => {
                     let answer = ledger.renew(now, &renewal);
                     return Some(Message::Renewed(renewal, answer));
                 }
-                Message::Renewed(renewal, answer) => ledger.renewed(now, &renewal, answer),
+                Message::Renewed(renewal, answer) => {
+                    ledger.apply_renewal_reply(now, &renewal, answer)
+                }
                 Message::Admitted(_) => {}
             },
             _ => {}
--- a/crates/filbertgrade/examples/compare_slots.rs
+++ b/crates/filbertgrade/examples/compare_slots.rs
@@ -10,7 +10,8 @@
 
 use filbertgrade_coord::names::{EndpointName, NameError, TeamName, VmName};
 use filbertgrade_coord::slots::{
-    Acquire, Grant, LateGrant, Origin, PermitId, SlotBook, SlotConfig, SlotRequest, Temperature,
+    AcquireOutcome, Grant, Origin, PermitId, QueuedGrant, SlotConfig, SlotPool, SlotRequest,
+    Temperature,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -75,7 +76,7 @@
     /// Free slots that each VM owns, by endpoint.
     owned: [VecDeque<usize>; VMS],
     queues: [VecDeque<usize>; VMS],
-    book: SlotBook,
+    book: SlotPool,
     teams: Vec<TeamName>,
     owner: VmName,
     tickets: BTreeMap<u64, usize>,
@@ -108,7 +109,7 @@
 impl World {
     fn new(scheme: Scheme, seed: u64, load: f64) -> Result<Self, NameError> {
         let start = Instant::now();
-        let mut book = SlotBook::new(1, SlotConfig::default());
+        let mut book = SlotPool::new(1, SlotConfig::default());
         for n in 0..ENDPOINTS {
             let name = EndpointName::try_from(n.to_string().as_str())?;
             book.set_endpoint(start, name, SLOTS as u32, Temperature::Warm);
@@ -262,15 +263,15 @@
             avoid: Vec::new(),
         };
         match self.book.acquire(now, asked) {
-            Acquire::Granted(grant) => self.take_grant(now, id, &grant),
-            Acquire::Queued(ticket) => {
+            AcquireOutcome::Granted(grant) => self.take_grant(now, id, &grant),
+            AcquireOutcome::Queued(ticket) => {
                 self.tickets.insert(ticket.get(), id);
             }
-            Acquire::Refused(_) => {}
+            AcquireOutcome::Refused(_) => {}
         }
     }
 
-    fn take_grants(&mut self, now: Instant, granted: Vec<LateGrant>) {
+    fn take_grants(&mut self, now: Instant, granted: Vec<QueuedGrant>) {
         for late in granted {
             if let Some(id) = self.tickets.remove(&late.ticket.get()) {
                 self.take_grant(now, id, &late.grant);
--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::bucket::Part;
+use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::ledger::{
-    Admission as Decision, AdmissionRefusal, Ask, LedgerConfig, LedgerSnapshot, Lend, LoanAction,
-    Parcel, Renewal, Renewed, Return, ShareLedger,
+    self, Admission as Decision, AdmissionRefusal, LedgerConfig, LedgerSnapshot, LendOutcome,
+    LoanAction, LoanRequest, LoanReturn, Renewal, RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{TeamName, VmName};
 use tokio::sync::{Notify, oneshot};
@@ -96,11 +96,11 @@
         };
         let now = Instant::now();
         for (name, team) in &config.teams {
-            let limit = Part::new(team.rate, team.burst).unwrap_or_default();
+            let limit = RateShare::new(team.rate, team.burst).unwrap_or_default();
             let share = self.share_of(name, now);
             let mut state = share.state();
             let version = view.shares.version();
-            let part = view.shares.part(&self.vm, limit);
+            let part = view.shares.share(&self.vm, limit);
             state.ledger.set_base(now, version, part);
             match valid_until {
                 Some(until) => {
@@ -112,7 +112,7 @@
         let removed = |name: &TeamName| !config.teams.contains_key(name);
         for share in self.shares().iter().filter(|share| removed(&share.name)) {
             let version = view.shares.version();
-            share.state().ledger.set_base(now, version, Part::ZERO);
+            share.state().ledger.set_base(now, version, RateShare::ZERO);
         }
     }
 
@@ -155,29 +155,29 @@
     }
 
     /// Lends to a peer what the own demand leaves free.
-    pub(crate) fn lend(&self, team: &TeamName, ask: &Ask) -> Option<Parcel> {
+    pub(crate) fn lend(&self, team: &TeamName, ask: &LoanRequest) -> Option<ledger::Loan> {
         let share = self.existing(team)?;
         match share.state().ledger.lend(Instant::now(), ask) {
-            Lend::Parcel(parcel) => {
+            LendOutcome::Lent(parcel) => {
                 metrics::counter!("loans_out_total").increment(1);
                 Some(parcel)
             }
-            Lend::Declined(_) => None,
+            LendOutcome::Declined(_) => None,
         }
     }
 
     /// Answers a borrower's renewal.
-    pub(crate) fn renew(&self, team: &TeamName, renewal: &Renewal) -> Renewed {
+    pub(crate) fn renew(&self, team: &TeamName, renewal: &Renewal) -> RenewalReply {
         match self.existing(team) {
             Some(share) => share.state().ledger.renew(Instant::now(), renewal),
-            None => Renewed::Declined,
+            None => RenewalReply::Declined,
         }
     }
 
     /// Takes back a loan that a borrower returned.
-    pub(crate) fn take_back(&self, team: &TeamName, returned: &Return) {
+    pub(crate) fn take_back(&self, team: &TeamName, returned: &LoanReturn) {
         if let Some(share) = self.existing(team) {
-            share.state().ledger.take_back(Instant::now(), returned);
+            share.state().ledger.accept_return(Instant::now(), returned);
             share.wake.notify_one();
         }
     }
@@ -185,7 +185,7 @@
     /// Gives all loans back, for a VM that stops.
     pub(crate) async fn give_back_all(&self) {
         for share in self.shares() {
-            let returns = share.state().ledger.give_back_all(Instant::now());
+            let returns = share.state().ledger.return_all_loans(Instant::now());
             for returned in returns {
                 self.send_return(&share.name, returned).await;
             }
@@ -248,7 +248,7 @@
         Arc::clone(teams.entry(team.clone()).or_insert(share))
     }
 
-    async fn send_return(&self, team: &TeamName, returned: Return) {
+    async fn send_return(&self, team: &TeamName, returned: LoanReturn) {
         if let Some(link) = self.links.to(&returned.loan.lender) {
             let body = Body::ReturnLoan((team, returned).into());
             let _ = tokio::time::timeout(PEER_TIMEOUT, link.notify(body)).await;
@@ -299,7 +299,7 @@
     fn next_waiter(&mut self, now: Instant) -> Option<Waiter> {
         let since = self.queued_since.unwrap_or(now);
         let is_standing = now.saturating_duration_since(since) > STANDING_AFTER;
-        if is_standing && self.ledger.overload(now) > OVERLOADED {
+        if is_standing && self.ledger.overload_ratio(now) > OVERLOADED {
             self.queue.pop_back()
         } else {
             self.queue.pop_front()
@@ -338,7 +338,7 @@
 
 /// What the task of a ledger does next.
 struct Round {
-    ask: Option<(Ask, usize)>,
+    ask: Option<(LoanRequest, usize)>,
     due: Vec<LoanAction>,
     /// When to run again; `None` waits for a request.
     again_at: Option<Instant>,
@@ -368,8 +368,8 @@
     let now = Instant::now();
     let mut state = share.state();
     let next_token = state.serve_queue(now);
-    let due = state.ledger.due(now);
-    let ask = state.ledger.ask(now);
+    let due = state.ledger.due_loan_actions(now);
+    let ask = state.ledger.request_loan(now);
     let ask = ask.map(|ask| {
         state.asks += 1;
         (ask, state.asks)
@@ -383,17 +383,17 @@
 }
 
 /// Sends an equal part of the ask to each of the next peers in turn.
-fn ask_peers(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, ask: &Ask, turn: usize) {
+fn ask_peers(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, ask: &LoanRequest, turn: usize) {
     let peers = links.next_peers(PEERS_PER_ASK, turn);
     if peers.is_empty() {
         return;
     }
     let fraction = 1.0 / peers.len() as f64;
-    let part = ask.part.scaled(fraction);
+    let part = ask.share.scaled(fraction);
     for (peer, link) in peers {
-        let ask = Ask {
+        let ask = LoanRequest {
             id: ask.id.clone(),
-            part,
+            share: part,
             // A whole token, because a fraction of one admits nothing.
             tokens: (ask.tokens * fraction).ceil().min(part.burst()),
         };
@@ -412,7 +412,7 @@
     }
 }
 
-fn take_loan(share: &TeamShare, ask: &Ask, loan: Loan) {
+fn take_loan(share: &TeamShare, ask: &LoanRequest, loan: Loan) {
     match loan.into_parcel(ask) {
         Ok(Some(parcel)) => {
             let credit = share.state().ledger.credit(Instant::now(), &parcel);
@@ -428,7 +428,7 @@
 fn settle_loan(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, action: LoanAction) {
     let lender = match &action {
         LoanAction::Renew(renewal) => &renewal.loan.lender,
-        LoanAction::GiveBack(returned) => &returned.loan.lender,
+        LoanAction::Return(returned) => &returned.loan.lender,
     };
     let Some(link) = links.to(lender) else {
         return;
@@ -440,10 +440,13 @@
                 let body = Body::RenewLoan((&share.name, &renewal).into());
                 if let Ok(Body::LoanRenewed(answer)) = link.call(body, PEER_TIMEOUT).await {
                     let now = Instant::now();
-                    share.state().ledger.renewed(now, &renewal, answer.into());
+                    share
+                        .state()
+                        .ledger
+                        .apply_renewal_reply(now, &renewal, answer.into());
                 }
             }
-            LoanAction::GiveBack(returned) => {
+            LoanAction::Return(returned) => {
                 let body = Body::ReturnLoan((&share.name, returned).into());
                 let _ = tokio::time::timeout(PEER_TIMEOUT, link.notify(body)).await;
             }
--- a/crates/filbertgrade/src/process/entry/slots/book.rs
+++ b/crates/filbertgrade/src/process/entry/slots/book.rs
@@ -6,7 +6,7 @@
 
 use filbertgrade_coord::names::EndpointName;
 use filbertgrade_coord::slots::{
-    Acquire, Grant, LateGrant, PermitId, PermitRenewal, SlotBook, SlotConfig, SlotRefusal,
+    AcquireOutcome, Grant, PermitId, PermitRenewal, QueuedGrant, SlotConfig, SlotPool, SlotRefusal,
     SlotRequest, SlotSnapshot, Temperature, Ticket,
 };
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
 /// A slot book of this VM.
 #[derive(Debug)]
 pub(super) struct Book {
-    book: SlotBook,
+    book: SlotPool,
     /// Revision whose endpoints the book has.
     revision: Option<Revision>,
     addresses: HashMap<EndpointName, SocketAddr>,
@@ -55,7 +55,7 @@
 impl Book {
     pub(super) fn new() -> Self {
         Self {
-            book: SlotBook::new(rand::random(), config()),
+            book: SlotPool::new(rand::random(), config()),
             revision: None,
             addresses: HashMap::new(),
             waiting: HashMap::new(),
@@ -103,9 +103,9 @@
 
     pub(super) fn acquire(&mut self, now: Instant, request: SlotRequest) -> Next {
         match self.book.acquire(now, request) {
-            Acquire::Granted(grant) => Next::Answer(self.located(&grant)),
-            Acquire::Refused(refusal) => Next::Answer(Err(refusal)),
-            Acquire::Queued(ticket) => {
+            AcquireOutcome::Granted(grant) => Next::Answer(self.located(&grant)),
+            AcquireOutcome::Refused(refusal) => Next::Answer(Err(refusal)),
+            AcquireOutcome::Queued(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 self.waiting.insert(ticket, tx);
                 Next::Wait(ticket, rx)
@@ -137,7 +137,7 @@
             let late = self.book.set_draining(now, endpoint, true);
             self.deliver(now, late);
         }
-        let late = self.book.cool_down(now, endpoint);
+        let late = self.book.restart_ramp(now, endpoint);
         self.deliver(now, late);
     }
 
@@ -159,7 +159,7 @@
             .collect();
         for name in over {
             self.resting.remove(&name);
-            let mut late = self.book.cool_down(now, &name);
+            let mut late = self.book.restart_ramp(now, &name);
             let drained = self.drained.contains(&name);
             late.extend(self.book.set_draining(now, &name, drained));
             self.deliver(now, late);
@@ -206,7 +206,7 @@
 
     /// Hands late grants to the requests that wait for them. A slot whose
     /// request has gone is freed again, which may serve the next one.
-    fn deliver(&mut self, now: Instant, late: Vec<LateGrant>) {
+    fn deliver(&mut self, now: Instant, late: Vec<QueuedGrant>) {
         let mut pending = late;
         while let Some(granted) = pending.pop() {
             let answer = self.located(&granted.grant);
--- a/crates/filbertgrade/src/process/entry/spill.rs
+++ b/crates/filbertgrade/src/process/entry/spill.rs
@@ -41,7 +41,7 @@
             left: false,
         };
         if ask.avoid.is_empty() {
-            spill.with_limit(|limit, cfg| limit.request(cfg, Instant::now()));
+            spill.with_limit(|limit, cfg| limit.record_request(cfg, Instant::now()));
         }
         spill
     }
@@ -55,7 +55,7 @@
     /// The request may go to another region than the chosen one.
     pub(super) fn may_leave(&mut self) -> bool {
         if !self.left {
-            let allowed = self.with_limit(|limit, cfg| limit.try_leave(cfg, Instant::now()));
+            let allowed = self.with_limit(|limit, cfg| limit.try_spill(cfg, Instant::now()));
             self.left = allowed.unwrap_or(false);
             if !self.left {
                 metrics::counter!("spill_refused_total").increment(1);
@@ -85,7 +85,7 @@
 impl Drop for Spill<'_> {
     fn drop(&mut self) {
         if self.left {
-            self.with_limit(SpillLimit::stayed);
+            self.with_limit(SpillLimit::cancel_spill);
         }
     }
 }
--- a/crates/filbertgrade/src/version/config/read.rs
+++ b/crates/filbertgrade/src/version/config/read.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use filbertgrade_coord::names::{FailureDomainName, NameError, RegionName};
-use filbertgrade_coord::weights::IN_FORCE_AFTER;
+use filbertgrade_coord::weights::PROPAGATION_TIME;
 use indexmap::IndexMap;
 use ipnet::IpNet;
 
@@ -108,7 +108,7 @@
         let accepted = "a number above 0 and at most 1";
         let cap = self.number(&mut table, "cap", accepted, |cap| cap > 0.0 && cap <= 1.0);
         let settle = match table.get("settle_ms") {
-            None => Some(IN_FORCE_AFTER),
+            None => Some(PROPAGATION_TIME),
             Some((node, path)) => self
                 .integer_of(node, &path, &SETTLE_MS)
                 .map(|ms| Duration::from_millis(ms.unsigned_abs())),
--- a/crates/filbertgrade/src/version/routes.rs
+++ b/crates/filbertgrade/src/version/routes.rs
@@ -262,7 +262,7 @@
         let parts = parts
             .filter(|(region, _)| all || is_target(region))
             .map(|(region, weight)| (region.clone(), f64::from(*weight)));
-        Weights::in_proportion(&parts.collect())
+        Weights::from_proportions(&parts.collect())
     };
     config
         .services
--- a/crates/filbertgrade/src/version/steering.rs
+++ b/crates/filbertgrade/src/version/steering.rs
@@ -5,7 +5,7 @@
 
 use filbertgrade_coord::lease::FencingToken;
 use filbertgrade_coord::names::{NameError, RegionName};
-use filbertgrade_coord::weights::{WEIGHT_UNITS, WeightStep, Weights, next_weights_after};
+use filbertgrade_coord::weights::{WEIGHT_UNITS, WeightStep, Weights, next_weights_with_pause};
 use serde::{Deserialize, Serialize};
 
 use super::routes::{self, Drains};
@@ -48,7 +48,7 @@
         let last_step = last_step.filter(|_| self.step > 0);
         let wait = pause.max(self.pause);
         let mut moved = false;
-        let mut step = |current: &Weights, target: &Weights| match next_weights_after(
+        let mut step = |current: &Weights, target: &Weights| match next_weights_with_pause(
             current, target, cap, last_step, wait, now,
         ) {
             WeightStep::Publish(next) => {
--- a/crates/filbertgrade/src/wire/loans.rs
+++ b/crates/filbertgrade/src/wire/loans.rs
@@ -1,7 +1,9 @@
 //! Conversions between the ledger's types and their messages.
 
-use filbertgrade_coord::bucket::{Part, PartError};
-use filbertgrade_coord::ledger::{Ask, AskId, LoanId, Parcel, Renewal, Renewed, Return};
+use filbertgrade_coord::bucket::{RateShare, RateShareError};
+use filbertgrade_coord::ledger::{
+    self, LoanId, LoanRequest, LoanRequestId, LoanReturn, Renewal, RenewalReply,
+};
 use filbertgrade_coord::names::{NameError, TeamName};
 
 use super::{Borrow, Id, Loan, LoanRenewed, RenewLoan, ReturnLoan};
@@ -18,11 +20,11 @@
     Name(#[from] NameError),
     /// A rate or burst is malformed.
     #[error(transparent)]
-    Part(#[from] PartError),
+    Part(#[from] RateShareError),
 }
 
-impl From<(&TeamName, &Ask)> for Borrow {
-    fn from((team, ask): (&TeamName, &Ask)) -> Self {
+impl From<(&TeamName, &LoanRequest)> for Borrow {
+    fn from((team, ask): (&TeamName, &LoanRequest)) -> Self {
         Self {
             team: team.to_string(),
             ask: Some(Id {
@@ -30,37 +32,37 @@
                 incarnation: ask.id.incarnation,
                 number: ask.id.number,
             }),
-            rate: ask.part.rate(),
-            burst: ask.part.burst(),
+            rate: ask.share.rate(),
+            burst: ask.share.burst(),
             tokens: ask.tokens,
         }
     }
 }
 
-impl TryFrom<Borrow> for (TeamName, Ask) {
+impl TryFrom<Borrow> for (TeamName, LoanRequest) {
     type Error = LoanMessageError;
 
     fn try_from(borrow: Borrow) -> Result<Self, LoanMessageError> {
         let id = borrow.ask.ok_or(LoanMessageError::Unnamed)?;
-        let ask = Ask {
-            id: AskId {
+        let ask = LoanRequest {
+            id: LoanRequestId {
                 borrower: id.vm.as_str().try_into()?,
                 incarnation: id.incarnation,
                 number: id.number,
             },
-            part: Part::new(borrow.rate, borrow.burst)?,
+            share: RateShare::new(borrow.rate, borrow.burst)?,
             tokens: borrow.tokens,
         };
         Ok((borrow.team.as_str().try_into()?, ask))
     }
 }
 
-impl From<Option<Parcel>> for Loan {
-    fn from(parcel: Option<Parcel>) -> Self {
+impl From<Option<ledger::Loan>> for Loan {
+    fn from(parcel: Option<ledger::Loan>) -> Self {
         parcel.map_or_else(Self::default, |parcel| Self {
-            loan: Some(parcel.loan.into()),
-            rate: parcel.part.rate(),
-            burst: parcel.part.burst(),
+            loan: Some(parcel.id.into()),
+            rate: parcel.share.rate(),
+            burst: parcel.share.burst(),
             tokens: parcel.tokens,
         })
     }
@@ -68,14 +70,17 @@
 
 impl Loan {
     /// The parcel that answers `ask`; `None` when nothing was lent.
-    pub(crate) fn into_parcel(self, ask: &Ask) -> Result<Option<Parcel>, LoanMessageError> {
+    pub(crate) fn into_parcel(
+        self,
+        ask: &LoanRequest,
+    ) -> Result<Option<ledger::Loan>, LoanMessageError> {
         let Some(loan) = self.loan else {
             return Ok(None);
         };
-        Ok(Some(Parcel {
-            loan: loan.try_into()?,
-            ask: ask.id.clone(),
-            part: Part::new(self.rate, self.burst)?,
+        Ok(Some(ledger::Loan {
+            id: loan.try_into()?,
+            request: ask.id.clone(),
+            share: RateShare::new(self.rate, self.burst)?,
             tokens: self.tokens,
         }))
     }
@@ -104,15 +109,15 @@
     }
 }
 
-impl From<Renewed> for LoanRenewed {
-    fn from(renewed: Renewed) -> Self {
+impl From<RenewalReply> for LoanRenewed {
+    fn from(renewed: RenewalReply) -> Self {
         Self {
-            extended: renewed == Renewed::Extended,
+            extended: renewed == RenewalReply::Extended,
         }
     }
 }
 
-impl From<LoanRenewed> for Renewed {
+impl From<LoanRenewed> for RenewalReply {
     fn from(message: LoanRenewed) -> Self {
         if message.extended {
             Self::Extended
@@ -122,8 +127,8 @@
     }
 }
 
-impl From<(&TeamName, Return)> for ReturnLoan {
-    fn from((team, returned): (&TeamName, Return)) -> Self {
+impl From<(&TeamName, LoanReturn)> for ReturnLoan {
+    fn from((team, returned): (&TeamName, LoanReturn)) -> Self {
         Self {
             team: team.to_string(),
             loan: Some(returned.loan.into()),
@@ -132,12 +137,12 @@
     }
 }
 
-impl TryFrom<ReturnLoan> for (TeamName, Return) {
+impl TryFrom<ReturnLoan> for (TeamName, LoanReturn) {
     type Error = LoanMessageError;
 
     fn try_from(message: ReturnLoan) -> Result<Self, LoanMessageError> {
         let loan = message.loan.ok_or(LoanMessageError::Unnamed)?.try_into()?;
-        let returned = Return {
+        let returned = LoanReturn {
             loan,
             tokens: message.tokens,
         };
