--- a/crates/filbertgrade-coord/src/ledger.rs
+++ b/crates/filbertgrade-coord/src/ledger.rs
@@ -1,9 +1,9 @@
-//! One team's rate and burst at one VM, with loans between VMs.
+//! A VM's share of one team's rate and burst, with loans between VMs.
 //!
-//! Over all VMs and parcels in transit, the sum of rate parts is at most the
-//! team's rate, the sum of burst parts at most its burst, and every holder's
-//! tokens at most its burst part. Every window then admits at most
-//! `burst + rate * length`.
+//! Summed over all VMs and all loans in transit, the rates never exceed the
+//! team's rate and the bursts never exceed its burst. No VM and no message
+//! holds more tokens than its own burst. The fleet therefore admits at most
+//! `burst + rate * length` requests in any interval.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -13,32 +13,34 @@
 
 /// The share ledger of one team at one VM.
 ///
-/// A loan counts against its lender until the lender has taken it back, and
-/// its borrower stops using it earlier than that by the borrower's own clock.
-/// Messages may be lost, duplicated or late: that loses tokens and never
-/// creates them.
+/// A loan is deducted from the lender's base until the lender reclaims it. The
+/// borrower stops using the loan before that, as measured by its own clock.
+/// Lost, duplicated or delayed messages can destroy tokens but never create
+/// them.
 ///
-/// Every operation first processes what has expired by `now`, in order of
-/// time, so a process that was paused cannot spend what lapsed meanwhile.
+/// Every operation first processes all expirations up to `now` in order of
+/// time. A process that was paused therefore cannot spend what expired during
+/// the pause.
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
     team: TeamName,
     vm: VmName,
     incarnation: u64,
     cfg: LedgerConfig,
-    /// The base may be used from this instant on.
+    /// End of the start delay, during which the base must not be used.
     usable_from: Instant,
-    /// Capacity is the base at hand, if usable, plus all loans in.
+    /// Its share is the unlent base, if usable, plus all borrowed shares.
     bucket: TokenBucket,
     table_version: u64,
-    /// The base that the share table gives.
+    /// The base that the share table assigns to this VM.
     target: RateShare,
-    /// The base is valid until this instant; `None` before the first permission.
+    /// End of the permission to use the base; `None` if there is none.
     base_until: Option<Instant>,
     base_usable: bool,
     loans_out: BTreeMap<LoanId, LoanOut>,
     loans_in: BTreeMap<LoanId, LoanIn>,
-    /// Asks whose loans would still run. Parcels of other asks are not credited.
+    /// Loan requests, by number, that were sent less than a loan lease ago.
+    /// Loans for older requests have expired and are not credited.
     open_loan_requests: BTreeMap<u64, OpenLoanRequest>,
     last_loan_request_at: Option<Instant>,
     next_loan_request: u64,
@@ -50,39 +52,44 @@
 /// Settings of a [`ShareLedger`]; they must be the same on every VM.
 #[derive(Clone, Debug)]
 pub struct LedgerConfig {
-    /// How long a loan runs, counted from the borrower's send time. Default 2 s.
+    /// Duration of a loan, from the time at which the borrower sent its
+    /// request. Default 2 s.
     ///
-    /// A lease under a few round trips expires before it is used. A long one
-    /// keeps a crashed borrower's part unused for as long, and delays
-    /// [`usable_from`](LedgerConfig::start_delay).
+    /// A lease shorter than a few round trips expires before the loan can be
+    /// used. A long lease leaves the share unused for that long when a borrower
+    /// crashes, and lengthens the [start delay](LedgerConfig::start_delay).
     pub loan_lease: Duration,
-    /// How much later than the lease the lender takes a loan back. Default 500 ms.
+    /// Time that the lender waits after the end of a lease before it reclaims
+    /// the loan. Default 500 ms.
     ///
-    /// It covers the difference in speed of two clocks over one lease. With
-    /// too little, lender and borrower may use the same part at once.
+    /// The margin covers the drift between the two VMs' clocks during one
+    /// lease. If it is too small, lender and borrower may use the same share
+    /// at the same time.
     pub reclaim_margin: Duration,
-    /// Shortest time between two asks. Default 50 ms.
+    /// Minimum time between two loan requests. Default 50 ms.
     pub request_interval: Duration,
-    /// Time in which waiting requests should get a token. Default 500 ms, the
-    /// longest time that a request waits. Less than 1 ms counts as 1 ms.
+    /// Time within which all waiting requests should get a token. Default
+    /// 500 ms, the longest time that a request waits. Values below 1 ms are
+    /// treated as 1 ms.
     pub backlog_target: Duration,
-    /// Fraction of the demand that an ask wants at least. Default 0.2.
+    /// Minimum rate of a loan request, as a fraction of the demand. Default 0.2.
     ///
-    /// With 0, slowly growing demand makes a loan per ask interval. A high
-    /// fraction borrows what others may need.
+    /// With 0, slowly growing demand causes a new loan in every request
+    /// interval. A high fraction borrows rate that other VMs may need.
     pub min_request_fraction: f64,
-    /// Time constant of the measured arrival rate. Default 1 s. Less than 1 ms
-    /// counts as 1 ms.
+    /// Time constant of the measured arrival rate. Default 1 s. Values below
+    /// 1 ms are treated as 1 ms.
     pub demand_window: Duration,
-    /// Factor on the measured arrival rate when it is compared with a rate. Default 1.1.
+    /// Factor by which the measured arrival rate is multiplied before it is
+    /// compared with a rate share. Default 1.1.
     pub demand_headroom: f64,
-    /// Burst, with its tokens, that is never lent, so that the first request
-    /// after a quiet time needs no loan. Default 1 token.
+    /// Burst that is never lent, together with the tokens to fill it, so that
+    /// the first request after an idle period needs no loan. Default 1 token.
     ///
-    /// Rate is not kept back: what idle VMs keep is lost to the busy ones, and
-    /// a team near its rate on few VMs needs all of it.
+    /// No rate is reserved, because rate that idle VMs hold back is lost to the
+    /// busy ones. A team that runs near its limit on a few VMs needs all of it.
     pub lend_reserve: f64,
-    /// Most requests that wait for a token at once. Default 1,024.
+    /// Maximum number of requests that wait for a token at once. Default 1,024.
     pub max_waiting: u32,
 }
 
@@ -103,61 +110,62 @@
 }
 
 impl LedgerConfig {
-    /// Time after start before the base may be used.
+    /// Delay after the start during which the base must not be used.
     ///
-    /// Loans of the VM's earlier incarnation have expired by then.
+    /// When it ends, all loans granted by the VM's previous incarnation have
+    /// expired.
     pub fn start_delay(&self) -> Duration {
         self.loan_lease + self.reclaim_margin
     }
 }
 
-/// Identifies a loan. `incarnation` and `number` are the lender's.
+/// Identifies a loan across all VMs and incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoanId {
-    /// The VM that lends.
+    /// The VM that granted the loan.
     pub lender: VmName,
-    /// The incarnation of the lending ledger.
+    /// The incarnation of the lender's ledger.
     pub incarnation: u64,
-    /// Counts the loans of the incarnation.
+    /// Sequence number of the loan within the lender's incarnation.
     pub number: u64,
 }
 
-/// Identifies an ask. `incarnation` and `number` are the borrower's.
+/// Identifies a loan request across all VMs and incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoanRequestId {
-    /// The VM that asks.
+    /// The VM that requests the loan.
     pub borrower: VmName,
-    /// The incarnation of the asking ledger.
+    /// The incarnation of the borrower's ledger.
     pub incarnation: u64,
-    /// Counts the asks of the incarnation.
+    /// Sequence number of the request within the borrower's incarnation.
     pub number: u64,
 }
 
-/// What a VM asks its peers to lend. The same ask may go to several peers.
+/// A request for a loan. The same request may be sent to several peers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanRequest {
-    /// Names the ask in the parcels that answer it.
+    /// Identifies the request in the loans that are granted for it.
     pub id: LoanRequestId,
-    /// Wanted capacity.
+    /// Requested rate and burst.
     pub share: RateShare,
-    /// Wanted tokens, at most the wanted burst.
+    /// Requested tokens, at most the requested burst.
     pub tokens: f64,
 }
 
-/// Capacity and tokens on their way from a lender to a borrower.
+/// A loan as the lender sends it to the borrower.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loan {
-    /// The loan.
+    /// Identifies the loan.
     pub id: LoanId,
-    /// The ask that the loan answers.
+    /// The request for which the loan was granted.
     pub request: LoanRequestId,
-    /// Lent capacity.
+    /// Lent rate and burst.
     pub share: RateShare,
     /// Lent tokens, at most the lent burst.
     pub tokens: f64,
 }
 
-/// Tokens of a loan that the borrower gives back early.
+/// The early end of a loan, with the tokens that the borrower returns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoanReturn {
     /// The loan that ends.
@@ -171,39 +179,42 @@
 pub struct Renewal {
     /// The loan to extend.
     pub loan: LoanId,
-    /// Counts the renewals of the loan; the reply must carry the same number.
+    /// Sequence number of the renewal for this loan. It matches a reply to the
+    /// renewal that it answers.
     pub number: u64,
 }
 
-/// What becomes of a request.
+/// The decision about a request that needs a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request took a token.
     Admitted,
-    /// The request counts as waiting until [`ShareLedger::retry`] admits it or
-    /// [`ShareLedger::abandon`] is called.
+    /// The request waits for a token until [`ShareLedger::retry`] admits or
+    /// refuses it, or [`ShareLedger::abandon`] is called.
     Wait {
-        /// When the own bucket will have a token for it if nothing changes;
-        /// `None` if the bucket has no rate now, or a burst under one token.
+        /// When the bucket will have a token for the request if its share does
+        /// not change. `None` if the current rate is zero or the current burst
+        /// is less than one token.
         retry_at: Option<Instant>,
     },
-    /// The request was not run and does not count as waiting.
+    /// The request must not run, and is not in the queue.
     Refused(AdmissionRefusal),
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionRefusal {
-    /// The base may not be used, and there is no loan to use instead.
+    /// Use of the base is not permitted, and there is no borrowed share.
     BaseUnusable,
-    /// [`LedgerConfig::max_waiting`] requests are waiting.
+    /// [`LedgerConfig::max_waiting`] requests are already waiting.
     QueueFull,
 }
 
-/// What a lender answers to an ask.
+/// A lender's decision about a loan request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LendOutcome {
-    /// Send the parcel. Its part and tokens are debited already.
+    /// The loan to send to the borrower. Its share and tokens have already been
+    /// deducted from the lender.
     Lent(Loan),
     /// Nothing is lent.
     Declined(LendRefusal),
@@ -212,79 +223,79 @@
 /// Why nothing was lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LendRefusal {
-    /// The ask comes from this VM, or its tokens exceed its burst.
+    /// The request comes from this VM itself, or requests more tokens than burst.
     Malformed,
-    /// A loan for the same ask is running.
+    /// A loan for the same request has not ended yet.
     AlreadyLent,
-    /// The base may not be used.
+    /// Use of the base is not permitted.
     BaseUnusable,
-    /// The base is about to shrink.
+    /// The share table assigns a smaller base, which waits for loans to end.
     Shrinking,
-    /// Own demand leaves nothing free.
+    /// The lender needs all of its base for its own requests.
     OwnDemand,
 }
 
-/// What a borrower did with a parcel.
+/// The result of crediting a loan to the borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CreditOutcome {
-    /// The loan is in use until this instant.
+    /// The loan can be used until this instant.
     Credited {
-        /// End of the lease by the own clock.
+        /// End of the lease by the borrower's clock.
         until: Instant,
     },
     /// The loan was credited before.
     Duplicate,
-    /// The ask is unknown or so old that its loans have expired.
+    /// The loan request is unknown, or so old that its loans have expired.
     Late,
-    /// The parcel holds more tokens than burst.
+    /// The loan contains more tokens than burst.
     Malformed,
 }
 
-/// A lender's answer to a renewal.
+/// A lender's reply to a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RenewalReply {
-    /// The loan runs for another lease from the borrower's send time.
+    /// The loan is extended by a lease from the borrower's send time.
     Extended,
-    /// The loan is unknown, or the lender needs it back when it ends.
+    /// The loan is not extended: it is unknown, or the lender needs the share.
     Declined,
 }
 
-/// What a borrower does about one of its loans.
+/// An action that a borrower takes for one of its loans.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LoanAction {
-    /// LoanRequest the lender to extend it.
+    /// Send the lender a request to extend the loan.
     Renew(Renewal),
-    /// Give it back, because demand no longer needs it.
+    /// Return the loan to the lender, because demand no longer needs it.
     Return(LoanReturn),
 }
 
-/// A plain copy of a ledger's state for operators and tests.
+/// A copy of a ledger's state, for operators and tests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LedgerSnapshot {
-    /// The team.
+    /// The team whose limit the ledger enforces.
     pub team: TeamName,
-    /// The VM.
+    /// The VM that the ledger belongs to.
     pub vm: VmName,
     /// The incarnation of the ledger.
     pub incarnation: u64,
-    /// Version of the share table in use.
+    /// Version of the last share table that was applied.
     pub table_version: u64,
-    /// The base that the table gives.
+    /// The base that the share table assigns to the VM.
     pub target: RateShare,
-    /// The base that counts against this VM, loans out included. It is above
-    /// `target` while a shrink waits for loans to return.
+    /// The VM's effective base, including what is lent. It exceeds `target`
+    /// while a smaller base waits for loans to end.
     pub base: RateShare,
-    /// Whether the base may be used.
+    /// Whether use of the base is permitted.
     pub base_usable: bool,
-    /// Loans to other VMs: id, borrower, part and when it is taken back.
+    /// Loans to other VMs: id, borrower, share and time of reclaim.
     pub loans_out: Vec<(LoanId, VmName, RateShare, Instant)>,
-    /// Loans from other VMs: id, part and when it expires.
+    /// Loans from other VMs: id, share and time of expiration.
     pub loans_in: Vec<(LoanId, RateShare, Instant)>,
-    /// Capacity of the bucket.
+    /// Rate and burst of the bucket.
     pub share: RateShare,
     /// Tokens in the bucket.
     pub tokens: f64,
-    /// Requests waiting for a token.
+    /// Number of requests waiting for a token.
     pub waiting: u32,
     /// Measured arrivals per second.
     pub demand: f64,
@@ -301,32 +312,39 @@
 struct LoanIn {
     share: RateShare,
     expires_at: Instant,
-    /// The newest renewal and its send time. An answer to an older one is
-    /// ignored, because the lender may have counted its lease from earlier.
+    /// Number and send time of the latest renewal, until its reply arrives.
+    /// Replies to earlier renewals are ignored, because they extend the loan
+    /// only from the earlier send time.
     renewal: Option<(u64, Instant)>,
+    /// Number of renewals sent.
     renewals: u64,
 }
 
 #[derive(Clone, Debug)]
 struct OpenLoanRequest {
     sent_at: Instant,
+    /// Loans credited for the request, to detect duplicates.
     credited: BTreeSet<LoanId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Event {
+    /// The lease of a borrowed loan ends.
     LoanExpires,
+    /// The lender may use a lent share again.
     LoanReclaimed,
-    BaseOpens,
-    BaseLapses,
+    /// The start delay ends while use of the base is permitted.
+    BaseUsable,
+    /// The permission to use the base ends.
+    BaseExpires,
 }
 
 impl ShareLedger {
-    /// Creates a ledger without base, loans and tokens.
+    /// Creates a ledger without a base, loans or tokens.
     ///
-    /// `incarnation` must differ between any two ledgers that a VM ever
-    /// creates for a team; otherwise a late message of the earlier one could
-    /// be taken for one of this.
+    /// `incarnation` must be different for every ledger that a VM ever creates
+    /// for a team. Otherwise a delayed message from an earlier ledger could be
+    /// attributed to this one.
     pub fn new(
         team: TeamName,
         vm: VmName,
@@ -356,10 +374,12 @@
         }
     }
 
-    /// Takes over the base of a share table version; an older version is ignored.
+    /// Applies the base from a version of the share table; older versions are
+    /// ignored.
     ///
-    /// Growth takes effect at once, without tokens. A shrink takes effect as
-    /// far as the part is at hand, and for the rest as loans return.
+    /// A larger base takes effect immediately but adds no tokens. A smaller
+    /// base takes effect immediately for the share that is not lent, and for
+    /// the remainder as loans end.
     pub fn set_base(&mut self, now: Instant, table_version: u64, base: RateShare) {
         self.advance(now);
         if table_version < self.table_version {
@@ -367,14 +387,16 @@
         }
         self.table_version = table_version;
         self.target = base;
-        self.refit(now);
+        self.update_bucket_share(now);
     }
 
-    /// Permits use of the base until `until`, which comes from freshness.
+    /// Permits use of the base until `until`.
     ///
-    /// `table_version` is the version that the freshness evidence covers.
-    /// Returns false, without effect, if the ledger has not taken over that
-    /// version: its base may have been given to others since.
+    /// The caller obtains `until` by a freshness check of its copy of the store
+    /// (see [`freshness`](crate::freshness)), and passes the version of the
+    /// share table in that copy. Returns false, without effect, if the ledger
+    /// has not applied exactly that version, because its base may since have
+    /// been assigned to other VMs.
     pub fn allow_base(&mut self, now: Instant, table_version: u64, until: Instant) -> bool {
         self.advance(now);
         if table_version != self.table_version {
@@ -382,29 +404,31 @@
         }
         self.base_until = Some(until);
         self.base_usable = self.usable_from <= now && now < until;
-        self.refit(now);
+        self.update_bucket_share(now);
         true
     }
 
-    /// Forbids use of the base at once; tokens beyond the loans' burst are lost.
+    /// Forbids use of the base immediately. Tokens that exceed the burst of the
+    /// borrowed loans are dropped.
     pub fn forbid_base(&mut self, now: Instant) {
         self.advance(now);
         self.base_until = None;
         self.base_usable = false;
-        self.refit(now);
+        self.update_bucket_share(now);
     }
 
-    /// The table version whose base is in effect, for acknowledgement.
+    /// The share table version whose base is fully in effect, which the VM
+    /// acknowledges to the allocator.
     ///
-    /// Returns `None` while a shrink waits for loans to return, and while
-    /// loans of an earlier incarnation may still run.
+    /// Returns `None` while a smaller base waits for loans to end, and while
+    /// loans granted by an earlier incarnation may not have expired.
     pub fn version_in_effect(&mut self, now: Instant) -> Option<u64> {
         self.advance(now);
         let in_effect = now >= self.usable_from && self.base() == self.target;
         in_effect.then_some(self.table_version)
     }
 
-    /// Decides about a request that has just arrived.
+    /// Decides whether a request that has just arrived may run.
     pub fn admit(&mut self, now: Instant) -> Admission {
         self.advance(now);
         self.arrivals.record(now);
@@ -421,9 +445,10 @@
         self.wait_for(self.waiting, now)
     }
 
-    /// Decides again about the first waiting request.
+    /// Decides again whether the first waiting request may run.
     ///
-    /// The caller keeps the requests in order of arrival.
+    /// The ledger only counts waiting requests; the caller keeps the queue and
+    /// chooses which request is first.
     pub fn retry(&mut self, now: Instant) -> Admission {
         self.advance(now);
         if self.bucket.try_take(now) {
@@ -437,9 +462,10 @@
         self.wait_for(1, now)
     }
 
-    /// Requests that arrive for each one that the rate at hand admits.
+    /// Ratio of the measured arrival rate to the current rate of the bucket.
     ///
-    /// Above 1, requests arrive faster than they can be admitted.
+    /// Above 1, requests arrive faster than they can be admitted. The ratio is
+    /// infinite if the rate is zero.
     pub fn overload_ratio(&mut self, now: Instant) -> f64 {
         self.advance(now);
         let rate = self.bucket.share().rate();
@@ -449,16 +475,17 @@
         self.arrivals.per_second(now) / rate
     }
 
-    /// Notes that a waiting request gave up.
+    /// Records that a waiting request was withdrawn or timed out.
     pub fn abandon(&mut self, now: Instant) {
         self.advance(now);
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Plans an ask if demand exceeds the capacity and no ask was made just before.
+    /// Returns a loan request if demand exceeds the current share.
     ///
-    /// The lease of every loan that answers it counts from `now`, so the ask
-    /// must be sent at once.
+    /// Returns `None` within [`LedgerConfig::request_interval`] of the previous
+    /// request. The lease of every loan granted for the request starts at
+    /// `now`, so the caller must send the request immediately.
     pub fn request_loan(&mut self, now: Instant) -> Option<LoanRequest> {
         self.advance(now);
         if let Some(last_loan_request_at) = self.last_loan_request_at
@@ -471,19 +498,20 @@
         let backlog = f64::from(self.waiting) / seconds(self.cfg.backlog_target);
         let tokens = (f64::from(self.waiting) - self.bucket.tokens()).max(0.0);
         let missing = (demand + backlog - share.rate()).max(0.0);
-        // While the bucket is more than half full, a burst is not yet demand.
-        let draining = missing > 0.0 && self.bucket.tokens() < share.burst() / 2.0;
-        if tokens <= 0.0 && !draining {
+        // A short burst above the rate needs no loan while the bucket is at
+        // least half full.
+        let is_emptying = missing > 0.0 && self.bucket.tokens() < share.burst() / 2.0;
+        if tokens <= 0.0 && !is_emptying {
             return None;
         }
-        // Small gaps would otherwise add up to many loans, each with renewals
-        // of its own.
+        // Requesting only small deficits would accumulate many loans, each of
+        // which has to be renewed separately.
         let rate = missing.max(demand * self.cfg.min_request_fraction);
-        // A bucket needs a burst of one token to admit anything, and the
-        // arrivals of an ask interval to ride out the time until the next ask.
+        // A bucket needs a burst of at least one token to admit anything. It
+        // also has to absorb the arrivals until the next loan request.
         let interval = self.cfg.request_interval.as_secs_f64();
-        let floor = (demand * interval).max(1.0) - share.burst();
-        let burst = tokens.max(floor).max(rate * interval);
+        let min_burst = (demand * interval).max(1.0) - share.burst();
+        let burst = tokens.max(min_burst).max(rate * interval);
         let id = LoanRequestId {
             borrower: self.vm.clone(),
             incarnation: self.incarnation,
@@ -505,13 +533,13 @@
         })
     }
 
-    /// Lends what the ask wants, as far as own demand leaves it free.
+    /// Grants a loan from the share that the VM's own demand leaves unused.
     ///
-    /// Only the own base is lent, never a loan: a chain of loans would outlive
-    /// the first lender's lease.
+    /// Only the base is lent, never a borrowed share: a loan made from another
+    /// loan could outlive the first lender's lease.
     pub fn lend(&mut self, now: Instant, request: &LoanRequest) -> LendOutcome {
         self.advance(now);
-        if request.id.borrower == self.vm || !holds(request.share, request.tokens) {
+        if request.id.borrower == self.vm || !tokens_fit(request.share, request.tokens) {
             return LendOutcome::Declined(LendRefusal::Malformed);
         }
         if self
@@ -521,15 +549,15 @@
         {
             return LendOutcome::Declined(LendRefusal::AlreadyLent);
         }
-        let free = match self.free(now) {
-            Ok(free) => free,
+        let spare = match self.spare(now) {
+            Ok(spare) => spare,
             Err(refusal) => return LendOutcome::Declined(refusal),
         };
-        let share = request.share.min(free.share);
+        let share = request.share.min(spare.share);
         if share.is_zero() {
             return LendOutcome::Declined(LendRefusal::OwnDemand);
         }
-        let wanted = request.tokens.min(free.tokens).min(share.burst());
+        let wanted = request.tokens.min(spare.tokens).min(share.burst());
         let tokens = self.bucket.withdraw(wanted, now);
         let id = LoanId {
             lender: self.vm.clone(),
@@ -545,7 +573,7 @@
                 reclaim_at: now + self.cfg.loan_lease + self.cfg.reclaim_margin,
             },
         );
-        self.refit(now);
+        self.update_bucket_share(now);
         LendOutcome::Lent(Loan {
             id,
             request: request.id.clone(),
@@ -554,12 +582,14 @@
         })
     }
 
-    /// Credits a parcel, once per loan, until a lease after its ask was sent.
+    /// Adds a received loan to the bucket, at most once for each loan.
     ///
-    /// The caller then calls [`ShareLedger::retry`] for the waiting requests.
+    /// The loan can be used until a lease after its request was sent. After a
+    /// successful credit the caller calls [`ShareLedger::retry`] for the
+    /// waiting requests.
     pub fn credit(&mut self, now: Instant, loan: &Loan) -> CreditOutcome {
         self.advance(now);
-        if !holds(loan.share, loan.tokens) {
+        if !tokens_fit(loan.share, loan.tokens) {
             return CreditOutcome::Malformed;
         }
         if loan.request.borrower != self.vm || loan.request.incarnation != self.incarnation {
@@ -582,30 +612,33 @@
             },
         );
         self.bucket.add_share(loan.share, loan.tokens, now);
-        self.refit(now);
+        self.update_bucket_share(now);
         CreditOutcome::Credited { until }
     }
 
-    /// What to do about loans that are past half of their lease.
+    /// Renewals and returns for the borrowed loans that have passed half of
+    /// their lease.
     ///
-    /// Loans that demand needs are renewed and the others are given back. The
-    /// lease of a renewal counts from `now`, so it must be sent at once.
+    /// Loans that demand still needs are renewed, and the others are returned.
+    /// The lease of a renewed loan starts at `now`, so the caller must send the
+    /// renewals immediately.
     pub fn due_loan_actions(&mut self, now: Instant) -> Vec<LoanAction> {
         self.advance(now);
         let half = self.cfg.loan_lease / 2;
-        // A renewal whose answer was lost is repeated after a quarter of a lease.
-        let again = self.cfg.loan_lease / 4;
+        // A renewal without a reply is repeated after a quarter of a lease, so
+        // that a lost message does not end the loan.
+        let repeat_after = self.cfg.loan_lease / 4;
         let due: Vec<LoanId> = self
             .loans_in
             .iter()
             .filter(|(_, loan)| loan.expires_at <= now + half)
-            .filter(|(_, loan)| loan.renewal.is_none_or(|(_, at)| at + again <= now))
+            .filter(|(_, loan)| loan.renewal.is_none_or(|(_, at)| at + repeat_after <= now))
             .map(|(id, _)| id.clone())
             .collect();
         let mut actions = Vec::with_capacity(due.len());
         for id in due {
-            if self.needs(&id, now) {
-                actions.extend(self.renewal(&id, now).map(LoanAction::Renew));
+            if self.is_needed(&id, now) {
+                actions.extend(self.next_renewal(&id, now).map(LoanAction::Renew));
             } else {
                 actions.extend(self.return_loan(now, &id).map(LoanAction::Return));
             }
@@ -613,11 +646,14 @@
         actions
     }
 
-    /// Answers a borrower's renewal.
+    /// Extends a loan at a borrower's request, or declines to.
+    ///
+    /// The lender declines while it needs the share for its own requests or for
+    /// a smaller base.
     pub fn renew(&mut self, now: Instant, renewal: &Renewal) -> RenewalReply {
         self.advance(now);
         let own_demand =
-            self.waiting > 0 || self.arrivals.per_second(now) > self.base_at_hand().rate();
+            self.waiting > 0 || self.arrivals.per_second(now) > self.unlent_base().rate();
         let shrinking = self.base() != self.target;
         if !self.base_usable || own_demand || shrinking {
             return RenewalReply::Declined;
@@ -630,12 +666,12 @@
         RenewalReply::Extended
     }
 
-    /// Takes over a lender's answer to a renewal.
+    /// Applies a lender's reply to a renewal.
     ///
-    /// An answer to an older renewal, or for a loan that has ended, changes nothing.
-    pub fn apply_renewal_reply(&mut self, now: Instant, renewal: &Renewal, answer: RenewalReply) {
+    /// A reply to an earlier renewal, or for a loan that has ended, has no effect.
+    pub fn apply_renewal_reply(&mut self, now: Instant, renewal: &Renewal, reply: RenewalReply) {
         self.advance(now);
-        if answer == RenewalReply::Declined {
+        if reply == RenewalReply::Declined {
             return;
         }
         if let Some(loan) = self.loans_in.get_mut(&renewal.loan)
@@ -647,26 +683,30 @@
         }
     }
 
-    /// Ends a loan early. Its share of the tokens is debited before it is sent.
+    /// Ends a borrowed loan early and returns the message for the lender.
+    ///
+    /// A part of the bucket's tokens in proportion to the loan's burst is
+    /// withdrawn and returned with the loan. Returns `None` if the loan is not
+    /// in effect.
     pub fn return_loan(&mut self, now: Instant, loan: &LoanId) -> Option<LoanReturn> {
         self.advance(now);
         let ended = self.loans_in.remove(loan)?;
-        let whole = self.bucket.share().burst();
-        let fraction = if whole > 0.0 {
-            (ended.share.burst() / whole).min(1.0)
+        let total_burst = self.bucket.share().burst();
+        let fraction = if total_burst > 0.0 {
+            (ended.share.burst() / total_burst).min(1.0)
         } else {
             0.0
         };
         let wanted = (self.bucket.tokens() * fraction).min(ended.share.burst());
         let tokens = self.bucket.withdraw(wanted, now);
-        self.refit(now);
+        self.update_bucket_share(now);
         Some(LoanReturn {
             loan: loan.clone(),
             tokens,
         })
     }
 
-    /// Ends all loans early, for a VM that is stopping.
+    /// Ends all borrowed loans early. A VM does this when it stops.
     pub fn return_all_loans(&mut self, now: Instant) -> Vec<LoanReturn> {
         let loans: Vec<LoanId> = self.loans_in.keys().cloned().collect();
         loans
@@ -675,29 +715,30 @@
             .collect()
     }
 
-    /// Takes back a loan that its borrower returned.
+    /// Reclaims a loan that its borrower returned, with the unused tokens.
     ///
-    /// Returns false, without effect, if the loan is unknown or was taken back before.
+    /// Returns false, without effect, if the loan is unknown or was reclaimed
+    /// before, or if the message contains more tokens than the loan's burst.
     pub fn accept_return(&mut self, now: Instant, returned: &LoanReturn) -> bool {
         self.advance(now);
         let Some(loan) = self.loans_out.get(&returned.loan) else {
             return false;
         };
-        if !holds(loan.share, returned.tokens) {
+        if !tokens_fit(loan.share, returned.tokens) {
             return false;
         }
         self.loans_out.remove(&returned.loan);
-        self.refit(now);
+        self.update_bucket_share(now);
         self.bucket.add_share(RateShare::ZERO, returned.tokens, now);
         true
     }
 
-    /// The next instant at which something expires by itself.
+    /// When the next loan or permission expires, or the base becomes usable.
     pub fn next_event_at(&self) -> Option<Instant> {
         self.next_event().map(|(at, _)| at)
     }
 
-    /// A plain copy of the state at `now`.
+    /// A copy of the state at `now`.
     pub fn snapshot(&mut self, now: Instant) -> LedgerSnapshot {
         self.advance(now);
         LedgerSnapshot {
@@ -732,10 +773,10 @@
         }
     }
 
-    /// Processes everything that expired by `now`, in order of time.
+    /// Processes all expirations up to `now`, in order of time.
     ///
-    /// The bucket fills at the old rate up to each expiry and at the new rate
-    /// after it.
+    /// The bucket is refilled at the old rate up to each expiration and at the
+    /// new rate after it.
     fn advance(&mut self, now: Instant) {
         while let Some((at, event)) = self.next_event()
             && at <= now
@@ -744,13 +785,13 @@
             match event {
                 Event::LoanExpires => self.loans_in.retain(|_, loan| loan.expires_at > at),
                 Event::LoanReclaimed => self.loans_out.retain(|_, loan| loan.reclaim_at > at),
-                Event::BaseOpens => self.base_usable = true,
-                Event::BaseLapses => {
+                Event::BaseUsable => self.base_usable = true,
+                Event::BaseExpires => {
                     self.base_usable = false;
                     self.base_until = None;
                 }
             }
-            self.refit(at);
+            self.update_bucket_share(at);
         }
         self.bucket.refill(now);
         let lease = self.cfg.loan_lease;
@@ -769,18 +810,18 @@
             .map(|loan| (loan.reclaim_at, Event::LoanReclaimed));
         let base = self.base_until.map(|until| {
             if !self.base_usable && self.usable_from < until {
-                (self.usable_from, Event::BaseOpens)
+                (self.usable_from, Event::BaseUsable)
             } else {
-                (until, Event::BaseLapses)
+                (until, Event::BaseExpires)
             }
         });
         expires.chain(reclaimed).chain(base).min_by_key(|e| e.0)
     }
 
-    /// Fits the bucket's capacity to the base and the loans.
-    fn refit(&mut self, now: Instant) {
+    /// Sets the bucket's share from the usable base and the borrowed loans.
+    fn update_bucket_share(&mut self, now: Instant) {
         let base = if self.base_usable {
-            self.base_at_hand()
+            self.unlent_base()
         } else {
             RateShare::ZERO
         };
@@ -791,66 +832,74 @@
         self.bucket.set_share(share, now);
     }
 
+    /// Sum of all loans to other VMs.
     fn lent(&self) -> RateShare {
         self.loans_out
             .values()
             .fold(RateShare::ZERO, |sum, loan| sum.plus(loan.share))
     }
 
-    /// The base that counts against this VM. What is lent cannot shrink.
+    /// The effective base. It cannot fall below what is lent.
     fn base(&self) -> RateShare {
         self.target.max(self.lent())
     }
 
-    fn base_at_hand(&self) -> RateShare {
+    /// The part of the base that is not lent.
+    fn unlent_base(&self) -> RateShare {
         self.base().minus(self.lent())
     }
 
-    /// Reports whether there is nothing to spend and none of it will return by
-    /// itself. The hold after the start ends by itself, and does not count.
+    /// Returns true if the VM has no share to spend and cannot expect one
+    /// without new permission or a new loan. The start delay is not isolation,
+    /// because it ends by itself.
     fn is_isolated(&self, now: Instant) -> bool {
         !self.base_usable && now >= self.usable_from && self.loans_in.is_empty()
     }
 
+    /// The decision for the waiting request at `position` in the queue, counted
+    /// from 1.
     fn wait_for(&mut self, position: u32, now: Instant) -> Admission {
         Admission::Wait {
             retry_at: self.bucket.time_until(position, now).map(|wait| now + wait),
         }
     }
 
-    fn free(&self, now: Instant) -> Result<Free, LendRefusal> {
+    /// The share and tokens that can be lent now, or why none can.
+    fn spare(&self, now: Instant) -> Result<Spare, LendRefusal> {
         if !self.base_usable {
             return Err(LendRefusal::BaseUnusable);
         }
         if self.base() != self.target {
             return Err(LendRefusal::Shrinking);
         }
-        let at_hand = self.base_at_hand();
-        if self.waiting > 0 || !self.loans_in.is_empty() || at_hand.rate() <= 0.0 {
+        let unlent = self.unlent_base();
+        if self.waiting > 0 || !self.loans_in.is_empty() || unlent.rate() <= 0.0 {
             return Err(LendRefusal::OwnDemand);
         }
         let demand = self.arrivals.per_second(now) * self.cfg.demand_headroom;
-        let fraction = 1.0 - demand / at_hand.rate();
+        let fraction = 1.0 - demand / unlent.rate();
         if fraction <= 0.0 {
             return Err(LendRefusal::OwnDemand);
         }
-        let spare = |whole: f64| (whole * fraction).min(whole - self.cfg.lend_reserve);
-        let share = RateShare::new(at_hand.rate() * fraction, spare(at_hand.burst()).max(0.0));
-        Ok(Free {
+        let lendable = |total: f64| (total * fraction).min(total - self.cfg.lend_reserve);
+        let share = RateShare::new(unlent.rate() * fraction, lendable(unlent.burst()).max(0.0));
+        Ok(Spare {
             share: share.unwrap_or_default(),
-            tokens: spare(self.bucket.tokens()).max(0.0),
+            tokens: lendable(self.bucket.tokens()).max(0.0),
         })
     }
 
-    /// Reports whether demand exceeds what would remain without the loan.
-    fn needs(&self, loan: &LoanId, now: Instant) -> bool {
-        let lent = self.loans_in.get(loan).map_or(RateShare::ZERO, |l| l.share);
-        let rest = self.bucket.share().minus(lent);
+    /// Returns true if requests wait, or demand exceeds the rate that would
+    /// remain without the loan.
+    fn is_needed(&self, loan: &LoanId, now: Instant) -> bool {
+        let borrowed = self.loans_in.get(loan).map_or(RateShare::ZERO, |l| l.share);
+        let remaining = self.bucket.share().minus(borrowed);
         let demand = self.arrivals.per_second(now) * self.cfg.demand_headroom;
-        self.waiting > 0 || demand > rest.rate()
+        self.waiting > 0 || demand > remaining.rate()
     }
 
-    fn renewal(&mut self, id: &LoanId, now: Instant) -> Option<Renewal> {
+    /// Creates the next renewal of a loan and records its send time.
+    fn next_renewal(&mut self, id: &LoanId, now: Instant) -> Option<Renewal> {
         let loan = self.loans_in.get_mut(id)?;
         loan.renewals += 1;
         loan.renewal = Some((loan.renewals, now));
@@ -861,17 +910,19 @@
     }
 }
 
-/// What a lender can spare.
+/// The share and tokens that a lender does not need itself.
 #[derive(Clone, Copy, Debug)]
-struct Free {
+struct Spare {
     share: RateShare,
     tokens: f64,
 }
 
-/// Arrivals per second, weighted exponentially by age.
+/// Exponentially weighted moving average of the arrivals per second.
 #[derive(Clone, Debug)]
 struct ArrivalRate {
+    /// Time constant of the average.
     window: Duration,
+    /// The average at `updated_at`.
     per_second: f64,
     updated_at: Instant,
 }
@@ -896,12 +947,12 @@
     }
 }
 
-/// Seconds to divide by: at least one millisecond, so that rates stay finite.
+/// The duration in seconds, at least 0.001, so that rates divided by it are finite.
 fn seconds(duration: Duration) -> f64 {
     duration.as_secs_f64().max(1e-3)
 }
 
-/// Reports whether a part may hold that many tokens.
-fn holds(share: RateShare, tokens: f64) -> bool {
+/// Returns true if `tokens` is between zero and the burst of `share`.
+fn tokens_fit(share: RateShare, tokens: f64) -> bool {
     (0.0..=share.burst()).contains(&tokens)
 }
--- a/crates/filbertgrade-coord/src/slots.rs
+++ b/crates/filbertgrade-coord/src/slots.rs
@@ -1,4 +1,4 @@
-//! The slot book of one service in one region.
+//! Assignment of requests to the endpoints of one service in one region.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -7,45 +7,50 @@
 
 use crate::names::{EndpointName, TeamName, VmName};
 
-/// Permits to run requests on endpoints, and the requests that wait for one.
+/// The endpoints of one service in one region, the permits to run requests on
+/// them, and the requests that wait for a permit.
 ///
-/// Permits are leases: a holder that dies gives its slot back by silence.
-/// Requests wait by team, and free slots go to the teams in turn, so a team
-/// that sends more than others waits longer than they do.
+/// A permit is a lease: if its holder fails, the permit expires and its slot
+/// becomes free. Waiting requests are queued by team, and free slots are
+/// granted to the teams in round-robin order, so a team that sends more
+/// requests than the others also waits longer.
 #[derive(Clone, Debug)]
 pub struct SlotPool {
     cfg: SlotConfig,
     incarnation: u64,
     endpoints: BTreeMap<EndpointName, Endpoint>,
     permits: BTreeMap<PermitId, Permit>,
-    /// Waiting requests by team, each in order of arrival. The first team has
-    /// the next turn. Invariant: no queue is empty.
+    /// Waiting requests of each team in order of arrival. The first team is the
+    /// next to be served. Invariant: no queue is empty.
     queues: IndexMap<TeamName, VecDeque<Waiting>>,
     next_permit: u64,
     next_ticket: u64,
-    /// Smoothed time from grant to release, in seconds.
+    /// Moving average of the time from grant to release, in seconds. `None`
+    /// before the first release.
     run_time: Option<f64>,
 }
 
 /// Settings of a [`SlotPool`].
 #[derive(Clone, Debug)]
 pub struct SlotConfig {
-    /// How long a permit runs without a renewal. Default 2 s.
+    /// How long a renewed permit is valid without another renewal. Default 2 s.
     ///
-    /// A short lease costs more renewals; a long one keeps a dead holder's slot.
+    /// A short lease needs more renewal messages. A long one keeps the slot of a
+    /// failed holder occupied for longer.
     pub permit_lease: Duration,
-    /// How long a new permit runs before its first renewal. Default 2 s.
+    /// How long a new permit is valid without a renewal. Default 2 s.
     ///
-    /// A grant whose request has gone meanwhile, for example because the ask
-    /// was held up on the way, keeps its slot for as long. It must leave time
-    /// for a round trip between regions.
+    /// The lease must be longer than a round trip between regions. If the
+    /// request has ended by the time of the grant, for example because its slot
+    /// request was delayed, the slot stays occupied until this lease expires.
     pub first_lease: Duration,
-    /// Fraction of the region's slots that requests from other regions must
-    /// leave free. Default 0.2. With 1, other regions get nothing.
+    /// Fraction of the region's open slots that requests from other regions
+    /// must leave free. Default 0.2. With 1, requests from other regions are
+    /// never granted a slot.
     pub local_reserve: f64,
-    /// Time in which a cold endpoint gains one slot. Default 500 ms.
+    /// Interval at which a cold endpoint opens one more slot. Default 500 ms.
     pub ramp_step: Duration,
-    /// Most requests that wait at once. Default 4,096.
+    /// Maximum number of requests that wait at once. Default 4,096.
     pub max_waiting: usize,
 }
 
@@ -61,89 +66,90 @@
     }
 }
 
-/// Whether an endpoint's caches and connections are in use already.
+/// Whether an endpoint's caches and connections are already warm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Temperature {
     /// All slots may be used at once.
     Warm,
-    /// One slot at first, and one more with every ramp step.
+    /// One slot may be used at first, and one more after every ramp step.
     Cold,
 }
 
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// The team that the request runs for.
+    /// The team that sent the request.
     pub team: TeamName,
-    /// The entry that holds the permit.
+    /// The entry VM that will hold the permit.
     pub holder: VmName,
-    /// Where the caller's entry is.
+    /// Whether the entry VM is in the pool's region.
     pub origin: Origin,
-    /// The request is refused once its slot would come later than this.
+    /// Latest time for a grant. The request is refused when its slot is
+    /// expected later than this.
     pub deadline: Instant,
-    /// Endpoints that already refused this request.
+    /// Endpoints that already refused this request and must not be granted.
     pub avoid: Vec<EndpointName>,
 }
 
-/// Where a request comes from, seen from the slot book's region.
+/// Where a request comes from, relative to the slot pool's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// From an entry in the region.
+    /// From an entry VM in the same region.
     Local,
-    /// From an entry in another region; leaves the local reserve free.
+    /// From an entry VM in another region; must leave the local reserve free.
     Remote,
 }
 
-/// Identifies a permit, also across restarts of the slot book's owner.
+/// Identifies a permit, also across restarts of the VM that owns the slot pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PermitId {
-    /// The incarnation of the slot book.
+    /// The incarnation of the slot pool.
     pub incarnation: u64,
-    /// Counts the permits of the incarnation.
+    /// Sequence number of the permit within the incarnation.
     pub number: u64,
 }
 
-/// Identifies a waiting request within one slot book.
+/// Identifies a waiting request within one slot pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
 impl Ticket {
-    /// The number of the ticket, for a message.
+    /// The number of the ticket, for use in messages.
     pub fn get(self) -> u64 {
         self.0
     }
 }
 
-/// A slot that was given out.
+/// A granted slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The permit.
+    /// Identifies the permit to renew and release.
     pub permit: PermitId,
-    /// The endpoint to send to.
+    /// The endpoint on which the request may run.
     pub endpoint: EndpointName,
-    /// When the permit ends without a renewal.
+    /// When the permit expires unless it is renewed.
     pub until: Instant,
 }
 
 /// A grant to a request that was waiting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedGrant {
-    /// The ticket of the waiting request.
+    /// The ticket that identified the request while it waited.
     pub ticket: Ticket,
-    /// The request.
+    /// The request that waited.
     pub request: SlotRequest,
-    /// The slot.
+    /// The slot that it got.
     pub grant: Grant,
 }
 
-/// The answer to a request for a slot.
+/// The result of [`SlotPool::acquire`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcquireOutcome {
-    /// The slot is given out.
+    /// A slot is granted immediately.
     Granted(Grant),
-    /// The request waits; a later call returns its grant or its refusal.
+    /// The request waits. A later call returns its grant or its refusal.
     Queued(Ticket),
-    /// The request was not run.
+    /// No slot is granted, and the request does not wait.
     Refused(SlotRefusal),
 }
 
@@ -152,71 +158,75 @@
 pub enum SlotRefusal {
     /// No slot is expected before the deadline.
     Deadline,
-    /// Every endpoint is draining, or there is none.
+    /// No endpoint accepts the request: each one is draining, has no slots or
+    /// has already refused it, or there is none.
     NoEndpoint,
-    /// [`SlotConfig::max_waiting`] requests are waiting.
+    /// [`SlotConfig::max_waiting`] requests are already waiting.
     QueueFull,
 }
 
-/// Whether a renewal extended a permit.
+/// The result of [`SlotPool::renew`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitRenewal {
-    /// The permit runs until this instant.
+    /// The permit is valid until this instant.
     Extended {
         /// End of the lease.
         until: Instant,
     },
-    /// The permit is unknown: it expired, or this book replaced another one.
-    /// A holder that still runs the request calls [`SlotPool::adopt`].
+    /// The permit is unknown, because it expired or because another pool
+    /// granted it before this one replaced it. If the request still runs, it
+    /// is counted again with [`SlotPool::adopt`].
     Unknown,
 }
 
-/// What changed with the passing of time.
+/// The result of [`SlotPool::expire`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expired {
     /// Permits whose lease ended.
     pub permits: Vec<PermitId>,
-    /// Waiting requests whose deadline passed, or for which no endpoint is
-    /// left; they were not run.
+    /// Waiting requests that were refused because their deadline passed or no
+    /// endpoint is left.
     pub refused: Vec<(Ticket, SlotRequest, SlotRefusal)>,
-    /// Waiting requests that have a slot now.
+    /// Waiting requests that were granted a slot.
     pub granted: Vec<QueuedGrant>,
 }
 
-/// A plain copy of one endpoint's state.
+/// A copy of one endpoint's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointSnapshot {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub name: EndpointName,
-    /// Configured slots.
+    /// Number of configured slots.
     pub slots: u32,
-    /// Slots that may be used now.
+    /// Number of slots that may be used now; fewer than `slots` during a ramp.
     pub open: u32,
-    /// Permits given out.
+    /// Number of valid permits, which can exceed `open` after a ramp restarts.
     pub in_use: u32,
-    /// Whether it gets nothing new.
+    /// Whether the endpoint is excluded from new grants.
     pub draining: bool,
 }
 
-/// A plain copy of a slot book's state for operators and tests.
+/// A copy of a slot pool's state, for operators and tests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotSnapshot {
     /// All endpoints in order of name.
     pub endpoints: Vec<EndpointSnapshot>,
-    /// Number of permits given out.
+    /// Number of valid permits.
     pub permits: usize,
-    /// Waiting requests of each team, the team with the next turn first.
+    /// Number of waiting requests of each team, in the order in which the teams
+    /// are served.
     pub waiting: Vec<(TeamName, usize)>,
 }
 
 #[derive(Clone, Debug)]
 struct Endpoint {
     slots: u32,
-    /// When the ramp started, or `None` if it is over.
+    /// When the ramp started; `None` if the endpoint has been warm from the start.
     cold_since: Option<Instant>,
     draining: bool,
     in_use: u32,
-    /// Number of the newest permit here, so that equally loaded endpoints take turns.
+    /// Number of the latest permit on this endpoint. Among equally loaded
+    /// endpoints, the one with the lowest number is chosen.
     last_permit: u64,
 }
 
@@ -234,9 +244,10 @@
 }
 
 impl SlotPool {
-    /// Creates a book without endpoints.
+    /// Creates a pool without endpoints.
     ///
-    /// `incarnation` must differ between any two books for the same service and region.
+    /// `incarnation` must be different for every pool of the same service and
+    /// region, so that a permit of one pool is never taken for one of another.
     pub fn new(incarnation: u64, cfg: SlotConfig) -> Self {
         Self {
             cfg,
@@ -252,8 +263,9 @@
 
     /// Adds an endpoint or changes its number of slots.
     ///
-    /// `temperature` counts for new endpoints only. An endpoint with more
-    /// permits than slots gets nothing new until enough are released.
+    /// `temperature` is used for new endpoints only. An endpoint with more
+    /// permits than slots gets no new request until enough permits have ended.
+    /// Returns the grants to waiting requests that the change makes possible.
     pub fn set_endpoint(
         &mut self,
         now: Instant,
@@ -275,10 +287,12 @@
         self.serve(now)
     }
 
-    /// Starts or ends the drain of an endpoint. A draining endpoint gets nothing new.
+    /// Starts or ends the drain of an endpoint, which gets no new requests
+    /// while it drains.
     ///
-    /// If it was the last one, the next [`SlotPool::expire`] refuses all
-    /// waiting requests.
+    /// If no other endpoint accepts requests, the next [`SlotPool::expire`]
+    /// refuses all waiting requests. Returns the grants to waiting requests that
+    /// the change makes possible.
     pub fn set_draining(
         &mut self,
         now: Instant,
@@ -291,19 +305,22 @@
         self.serve(now)
     }
 
-    /// Removes an endpoint. Its permits are forgotten.
+    /// Removes an endpoint and its permits.
     ///
-    /// Fewer slots mean a smaller local reserve, which may make grants possible.
+    /// With fewer open slots the local reserve is smaller, so requests from
+    /// other regions may be granted slots on the remaining endpoints. Returns
+    /// these grants.
     pub fn remove_endpoint(&mut self, now: Instant, name: &EndpointName) -> Vec<QueuedGrant> {
         self.endpoints.remove(name);
         self.permits.retain(|_, permit| permit.endpoint != *name);
         self.serve(now)
     }
 
-    /// Notes that an endpoint shed a request or could not be reached: it
-    /// starts a new ramp with one slot.
+    /// Restarts the ramp of an endpoint with one open slot. The caller does this
+    /// when the endpoint shed a request or could not be reached.
     ///
-    /// Fewer slots mean a smaller local reserve, which may make grants possible.
+    /// With fewer open slots the local reserve is smaller, so requests from
+    /// other regions may be granted slots. Returns these grants.
     pub fn restart_ramp(&mut self, now: Instant, name: &EndpointName) -> Vec<QueuedGrant> {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.cold_since = Some(now);
@@ -320,7 +337,7 @@
             return AcquireOutcome::Refused(SlotRefusal::Deadline);
         }
         if let Some(endpoint) = self.pick(now, request.origin, &request.avoid)
-            && !self.is_anyone_ahead(now)
+            && !self.can_serve_waiting(now)
         {
             return AcquireOutcome::Granted(self.grant(now, endpoint));
         }
@@ -340,23 +357,23 @@
         AcquireOutcome::Queued(ticket)
     }
 
-    /// Ends a permit, and returns the grants that its slot makes possible.
+    /// Ends a permit and returns the grants that the free slot makes possible.
     ///
-    /// An unknown permit changes nothing.
+    /// An unknown permit is ignored.
     pub fn release(&mut self, now: Instant, permit: PermitId) -> Vec<QueuedGrant> {
         if let Some(ended) = self.end(permit) {
             let ran = now.saturating_duration_since(ended.granted_at);
-            self.note_run_time(ran);
+            self.record_run_time(ran);
         }
         self.serve(now)
     }
 
-    /// The endpoint of a permit that has not ended.
+    /// The endpoint of a permit, or `None` if the permit is unknown or has ended.
     pub fn endpoint_of(&self, permit: PermitId) -> Option<&EndpointName> {
         self.permits.get(&permit).map(|permit| &permit.endpoint)
     }
 
-    /// Extends a permit by a lease from `now`.
+    /// Extends a permit until a lease after `now`.
     pub fn renew(&mut self, now: Instant, permit: PermitId) -> PermitRenewal {
         match self.permits.get_mut(&permit) {
             Some(p) if p.expires_at > now => {
@@ -369,17 +386,20 @@
         }
     }
 
-    /// Counts a request that runs on an endpoint under a permit this book does not know.
+    /// Grants a permit for a request that already runs on an endpoint under a
+    /// permit that this pool does not know.
     ///
-    /// It makes a rebuilt book see the load of its predecessor. The count may
-    /// exceed the slots. Returns `None` if the endpoint is unknown.
+    /// In this way a pool that replaced another one learns of the requests that
+    /// its predecessor admitted. The endpoint's permits may then exceed its
+    /// slots. Returns `None` if the endpoint is unknown.
     pub fn adopt(&mut self, now: Instant, endpoint: &EndpointName) -> Option<Grant> {
         self.endpoints
             .contains_key(endpoint)
             .then(|| self.grant(now, endpoint.clone()))
     }
 
-    /// Withdraws a waiting request. Returns false if it is not waiting any more.
+    /// Removes a waiting request from its queue. Returns false if it is no longer
+    /// waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting();
         for queue in self.queues.values_mut() {
@@ -389,7 +409,8 @@
         self.waiting() < before
     }
 
-    /// Processes what expired by `now`, and the slots that ramps have opened.
+    /// Ends permits and refuses waiting requests that expired by `now`, and
+    /// grants free slots, including those that ramps have opened.
     pub fn expire(&mut self, now: Instant) -> Expired {
         let permits: Vec<PermitId> = self
             .permits
@@ -424,10 +445,11 @@
         }
     }
 
-    /// The next instant at which [`SlotPool::expire`] has something to do.
+    /// The next time at which [`SlotPool::expire`] must be called.
     pub fn next_event_at(&self, now: Instant) -> Option<Instant> {
-        // A ramp step that has passed is no future event, and still has slots to give.
-        if self.is_anyone_ahead(now) {
+        // A slot that a past ramp step opened must still be granted, although
+        // the step is no longer among the future events below.
+        if self.can_serve_waiting(now) {
             return Some(now);
         }
         let leases = self.permits.values().map(|p| p.expires_at);
@@ -440,7 +462,7 @@
         leases.chain(deadlines).chain(ramps).min()
     }
 
-    /// A plain copy of the state at `now`.
+    /// A copy of the state at `now`.
     pub fn snapshot(&self, now: Instant) -> SlotSnapshot {
         SlotSnapshot {
             endpoints: self
@@ -463,12 +485,12 @@
         }
     }
 
-    /// Reports whether no endpoint takes new requests.
+    /// Returns true if no endpoint accepts new requests.
     fn is_closed(&self) -> bool {
         self.is_closed_to(&[])
     }
 
-    /// Reports whether no endpoint takes a request that avoids some of them.
+    /// Returns true if no endpoint outside of `avoid` accepts new requests.
     fn is_closed_to(&self, avoid: &[EndpointName]) -> bool {
         self.endpoints
             .iter()
@@ -479,11 +501,11 @@
         self.queues.values().map(VecDeque::len).sum()
     }
 
-    /// Reports whether a waiting request could have a free slot.
+    /// Returns true if a waiting request could be granted a free slot.
     ///
-    /// Slots that a ramp opened are given out by [`SlotPool::expire`], and a
-    /// new request must not take them before that.
-    fn is_anyone_ahead(&self, now: Instant) -> bool {
+    /// Slots that a ramp has opened are granted to waiting requests by the next
+    /// [`SlotPool::expire`]. Until then a new request must not get them.
+    fn can_serve_waiting(&self, now: Instant) -> bool {
         if self.queues.is_empty() {
             return false;
         }
@@ -492,7 +514,7 @@
         })
     }
 
-    /// Gives free slots to waiting requests, one team after the other.
+    /// Grants free slots to waiting requests, to the teams in round-robin order.
     fn serve(&mut self, now: Instant) -> Vec<QueuedGrant> {
         let mut granted = Vec::new();
         while let Some(late) = self.serve_one(now) {
@@ -501,26 +523,28 @@
         granted
     }
 
+    /// Grants one slot to the first team with a request that can have it, and
+    /// moves the team to the end of the order.
     fn serve_one(&mut self, now: Instant) -> Option<QueuedGrant> {
-        for turn in 0..self.queues.len() {
-            let (team, queue) = self.queues.get_index(turn)?;
-            // The reserve may hold back a remote request, and must not hold
-            // back the local ones behind it.
+        for index in 0..self.queues.len() {
+            let (team, queue) = self.queues.get_index(index)?;
+            // A remote request that the local reserve blocks must not block the
+            // local requests behind it.
             let found = queue.iter().enumerate().find_map(|(i, w)| {
-                let live = w.request.deadline > now;
-                let endpoint = live
+                let in_time = w.request.deadline > now;
+                let endpoint = in_time
                     .then(|| self.pick(now, w.request.origin, &w.request.avoid))
                     .flatten();
                 endpoint.map(|e| (i, e))
             });
-            let Some((i, endpoint)) = found else {
+            let Some((position, endpoint)) = found else {
                 continue;
             };
             let team = team.clone();
             let mut queue = self.queues.shift_remove(&team)?;
-            let waiting = queue.remove(i)?;
+            let waiting = queue.remove(position)?;
             if !queue.is_empty() {
-                // The team's next turn comes after all others.
+                // Appends the team, so that all others are served before it.
                 self.queues.insert(team, queue);
             }
             return Some(QueuedGrant {
@@ -532,22 +556,23 @@
         None
     }
 
-    /// The least loaded endpoint with a free slot, unless the reserve forbids it.
+    /// Returns the least loaded endpoint with a free slot. Returns `None` if
+    /// there is none, or if the local reserve excludes a remote request.
     fn pick(&self, now: Instant, origin: Origin, avoid: &[EndpointName]) -> Option<EndpointName> {
         let step = self.cfg.ramp_step;
-        let live = || self.endpoints.iter().filter(|(_, e)| !e.draining);
+        let active = || self.endpoints.iter().filter(|(_, e)| !e.draining);
         if origin == Origin::Remote {
-            let open: u32 = live().map(|(_, e)| e.open(now, step)).sum();
-            let free: u32 = live().map(|(_, e)| e.free(now, step)).sum();
+            let open: u32 = active().map(|(_, e)| e.open(now, step)).sum();
+            let free: u32 = active().map(|(_, e)| e.free(now, step)).sum();
             let reserve = (f64::from(open) * self.cfg.local_reserve).ceil();
             if f64::from(free) - 1.0 < reserve {
                 return None;
             }
         }
-        live()
+        active()
             .filter(|(name, e)| e.free(now, step) > 0 && !avoid.contains(name))
             .min_by(|(_, a), (_, b)| {
-                // Compares in_use / open without division.
+                // Compares the ratios in_use / open by cross-multiplication.
                 let load_a = u64::from(a.in_use) * u64::from(b.open(now, step));
                 let load_b = u64::from(b.in_use) * u64::from(a.open(now, step));
                 load_a.cmp(&load_b).then(a.last_permit.cmp(&b.last_permit))
@@ -555,6 +580,7 @@
             .map(|(name, _)| name.clone())
     }
 
+    /// Creates a permit for `endpoint`, without a check for a free slot.
     fn grant(&mut self, now: Instant, endpoint: EndpointName) -> Grant {
         let permit = PermitId {
             incarnation: self.incarnation,
@@ -581,6 +607,7 @@
         }
     }
 
+    /// Removes a permit and frees its slot.
     fn end(&mut self, permit: PermitId) -> Option<Permit> {
         let ended = self.permits.remove(&permit)?;
         if let Some(endpoint) = self.endpoints.get_mut(&ended.endpoint) {
@@ -589,8 +616,9 @@
         Some(ended)
     }
 
-    fn note_run_time(&mut self, ran: Duration) {
-        // A weight of 1/8 follows a change of load within some ten requests.
+    fn record_run_time(&mut self, ran: Duration) {
+        // With a weight of 1/8 the average follows a change within about ten
+        // requests.
         const WEIGHT: f64 = 0.125;
         let ran = ran.as_secs_f64();
         let old = self.run_time.unwrap_or(ran);
@@ -599,8 +627,9 @@
 
     /// Expected time until a new request of `team` gets a slot.
     ///
-    /// With turns by team, at most as many requests of each other team go
-    /// first as the own team has waiting, the new one included.
+    /// Teams are served in round-robin order. Before the new request, each
+    /// other team is therefore served at most as often as `team` has requests
+    /// waiting, including the new one.
     fn expected_wait(&self, team: &TeamName) -> Duration {
         let own = self.queues.get(team).map_or(0, VecDeque::len) + 1;
         let others: usize = self
@@ -617,7 +646,8 @@
             .sum();
         let run_time = self.run_time.unwrap_or(0.0);
         let wait = run_time * (own + others) as f64 / f64::from(slots.max(1));
-        // A day is beyond every deadline and within what an `Instant` can represent.
+        // Limits the result to a day, which is later than any deadline, so that
+        // adding it to an `Instant` cannot overflow.
         Duration::from_secs_f64(wait.min(86_400.0))
     }
 }
@@ -631,10 +661,12 @@
         }
     }
 
+    /// Open slots without a permit.
     fn free(&self, now: Instant, step: Duration) -> u32 {
         self.open(now, step).saturating_sub(self.in_use)
     }
 
+    /// When the ramp opens the next slot; `None` if all slots are open.
     fn next_step_at(&self, now: Instant, step: Duration) -> Option<Instant> {
         let since = self.cold_since?;
         let next = steps(now, since, step).checked_add(1)?;
@@ -642,7 +674,7 @@
     }
 }
 
-/// Whole ramp steps between two instants.
+/// Number of whole ramp steps from `since` to `now`.
 fn steps(now: Instant, since: Instant, step: Duration) -> u32 {
     let elapsed = now.saturating_duration_since(since).as_nanos();
     let steps = elapsed / step.as_nanos().max(1);
--- a/crates/filbertgrade-coord/src/weights.rs
+++ b/crates/filbertgrade-coord/src/weights.rs
@@ -1,24 +1,24 @@
-//! Region weights that move toward their target in capped steps.
+//! Region weights that move toward a target in steps of limited size.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::names::RegionName;
 
-/// Units that make up all of the traffic.
+/// Number of units that represent all traffic of a service.
 pub const WEIGHT_UNITS: u32 = 10_000;
 
-/// Time for a published step to be in force everywhere.
+/// Time after which a published step is in force on every VM.
 pub const PROPAGATION_TIME: Duration = Duration::from_secs(8);
 
-/// The share of traffic that each region gets.
+/// The fraction of traffic that each region gets, in units of 1/10,000.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Weights {
     /// Invariant: the values add up to [`WEIGHT_UNITS`].
     units: BTreeMap<RegionName, u32>,
 }
 
-/// The error of weights that do not add up to [`WEIGHT_UNITS`].
+/// The error returned when weights do not add up to [`WEIGHT_UNITS`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("region weights add up to {sum} instead of {WEIGHT_UNITS}")]
 pub struct WeightsError {
@@ -26,11 +26,11 @@
 }
 
 impl Weights {
-    /// Creates weights from units of each region.
+    /// Creates weights from the units of each region.
     ///
     /// # Errors
     ///
-    /// Fails if the units do not add up to [`WEIGHT_UNITS`].
+    /// Returns an error if the units do not add up to [`WEIGHT_UNITS`].
     pub fn new(units: BTreeMap<RegionName, u32>) -> Result<Self, WeightsError> {
         let sum = units.values().map(|u| u64::from(*u)).sum();
         if sum != u64::from(WEIGHT_UNITS) {
@@ -39,37 +39,39 @@
         Ok(Self { units })
     }
 
-    /// Creates weights in proportion to relative numbers.
+    /// Creates weights in proportion to the given numbers, for example capacities.
     ///
-    /// Returns `None` if no number is above zero. Rounding error stays below
-    /// one unit for each region.
-    pub fn from_proportions(parts: &BTreeMap<RegionName, f64>) -> Option<Self> {
-        let part = |value: &f64| value.max(0.0);
-        let sum: f64 = parts.values().map(part).sum();
+    /// Negative numbers are treated as zero. Returns `None` if no number is above
+    /// zero, or if the sum is not finite. Each region's weight differs from the
+    /// exact proportion by less than one unit.
+    pub fn from_proportions(proportions: &BTreeMap<RegionName, f64>) -> Option<Self> {
+        let non_negative = |value: &f64| value.max(0.0);
+        let sum: f64 = proportions.values().map(non_negative).sum();
         if !(sum > 0.0 && sum.is_finite()) {
             return None;
         }
-        // Rounds the running sum, so that the units add up exactly.
-        let last_with_part = parts.iter().rfind(|(_, value)| **value > 0.0)?.0;
-        let (mut running, mut given) = (0.0, 0);
-        let units = parts
+        // Rounds the running sum instead of each summand, so that the units add
+        // up to `WEIGHT_UNITS` exactly.
+        let last_positive = proportions.iter().rfind(|(_, value)| **value > 0.0)?.0;
+        let (mut running, mut assigned) = (0.0, 0);
+        let units = proportions
             .iter()
             .map(|(region, value)| {
-                running += part(value);
-                let upto = if region >= last_with_part {
+                running += non_negative(value);
+                let cumulative = if region >= last_positive {
                     WEIGHT_UNITS
                 } else {
                     ((running / sum * f64::from(WEIGHT_UNITS)).round() as u32).min(WEIGHT_UNITS)
                 };
-                let units = upto - given;
-                given = upto;
+                let units = cumulative - assigned;
+                assigned = cumulative;
                 (region.clone(), units)
             })
             .collect();
         Some(Self { units })
     }
 
-    /// Returns the average of several weights, `None` if there are none.
+    /// Returns the average of several weights, or `None` if there are none.
     pub fn average<'a>(weights: impl IntoIterator<Item = &'a Weights>) -> Option<Self> {
         let mut sums: BTreeMap<RegionName, f64> = BTreeMap::new();
         for weights in weights {
@@ -90,24 +92,24 @@
         self.units.get(region).copied().unwrap_or(0)
     }
 
-    /// Units that change their region between two weights.
+    /// Number of units that are in a different region in `other`.
     pub fn distance(&self, other: &Weights) -> u32 {
         let gain = |(region, units): (&RegionName, &u32)| other.get(region).saturating_sub(*units);
-        let new = other
+        let added = other
             .units
             .iter()
             .filter(|(region, _)| !self.units.contains_key(*region))
             .map(|(_, units)| units);
-        self.units.iter().map(gain).sum::<u32>() + new.sum::<u32>()
+        self.units.iter().map(gain).sum::<u32>() + added.sum::<u32>()
     }
 }
 
-/// What the allocator does next about the weights.
+/// The next action of the allocator for the weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WeightStep {
-    /// The weights are at the target.
+    /// The weights equal the target, or must not move.
     Done,
-    /// The last step may not be in force everywhere yet.
+    /// The previous step may not be in force on every VM yet.
     Wait {
         /// When the next step may be published.
         until: Instant,
@@ -118,11 +120,14 @@
 
 /// Decides the next weights on the way from `current` to `target`.
 ///
-/// A step moves at most `cap` units, a cap of zero moves nothing. The next
-/// step follows after `time_to_live` of look-up answers plus 8 s.
-/// `last_step` is when the newest step was published; an allocator that does
-/// not know it passes the instant at which it became the allocator. A failed
-/// region does not lift the cap.
+/// A step moves at most `cap` units; with a cap of zero nothing moves. The cap
+/// also applies to traffic of a failed region. Successive steps are at least
+/// `time_to_live`, the lifetime of lookup responses, plus
+/// [`PROPAGATION_TIME`] apart.
+///
+/// `last_step` is the time at which the previous step was published. An
+/// allocator that does not know it passes the time at which it became the
+/// allocator.
 pub fn next_weights(
     current: &Weights,
     target: &Weights,
@@ -135,11 +140,11 @@
     next_weights_with_pause(current, target, cap, last_step, pause, now)
 }
 
-/// Decides like [`next_weights`], with the whole time between two steps given.
+/// Like [`next_weights`], but takes the whole time between two steps.
 ///
-/// A `pause` below the time to live of look-up answers plus the time in which
-/// a step comes into force lets two steps overlap, so that more than `cap`
-/// moves at once.
+/// If `pause` is shorter than the lifetime of lookup responses plus the time
+/// until a step is in force on every VM, two steps overlap, and more than `cap`
+/// units move at once.
 pub fn next_weights_with_pause(
     current: &Weights,
     target: &Weights,
@@ -161,19 +166,20 @@
     if distance <= cap {
         return WeightStep::Publish(target.clone());
     }
-    WeightStep::Publish(moved(current, target, cap, distance))
+    WeightStep::Publish(move_units(current, target, cap, distance))
 }
 
-/// Moves exactly `cap` units, in proportion to what each region gains or loses.
-fn moved(current: &Weights, target: &Weights, cap: u32, distance: u32) -> Weights {
+/// Moves exactly `cap` units, in proportion to the total gain or loss of each
+/// region.
+fn move_units(current: &Weights, target: &Weights, cap: u32, distance: u32) -> Weights {
     let regions: BTreeSet<&RegionName> = current.units.keys().chain(target.units.keys()).collect();
-    let diff = |region: &RegionName| (current.get(region), target.get(region));
+    let old_and_new = |region: &RegionName| (current.get(region), target.get(region));
     let gains = apportion(&regions, cap, distance, |r| {
-        let (old, new) = diff(r);
+        let (old, new) = old_and_new(r);
         new.saturating_sub(old)
     });
     let losses = apportion(&regions, cap, distance, |r| {
-        let (old, new) = diff(r);
+        let (old, new) = old_and_new(r);
         old.saturating_sub(new)
     });
     let units = regions
@@ -187,23 +193,25 @@
     Weights { units }
 }
 
-/// Splits `cap` in proportion to `want`, which adds up to `total`.
+/// Divides `cap` among the regions in proportion to `demand`, whose sum over
+/// all regions is `total`.
 fn apportion<'a>(
     regions: &BTreeSet<&'a RegionName>,
     cap: u32,
     total: u32,
-    want: impl Fn(&RegionName) -> u32,
+    demand: impl Fn(&RegionName) -> u32,
 ) -> BTreeMap<&'a RegionName, u32> {
-    // Rounds the running sum, so that the parts add up to `cap` exactly.
-    let mut wanted = 0u64;
-    let mut given = 0u64;
-    let mut parts = BTreeMap::new();
+    // Rounds the running sum instead of each summand, so that the result adds
+    // up to `cap` exactly.
+    let mut running = 0u64;
+    let mut assigned = 0u64;
+    let mut units = BTreeMap::new();
     for region in regions {
-        wanted += u64::from(want(region));
-        let upto = wanted * u64::from(cap) / u64::from(total);
-        let part = u32::try_from(upto - given).unwrap_or(u32::MAX);
-        given = upto;
-        parts.insert(*region, part);
+        running += u64::from(demand(region));
+        let cumulative = running * u64::from(cap) / u64::from(total);
+        let region_units = u32::try_from(cumulative - assigned).unwrap_or(u32::MAX);
+        assigned = cumulative;
+        units.insert(*region, region_units);
     }
-    parts
+    units
 }
