--- a/crates/filbertgrade-coord/tests/steering/limits.rs
+++ b/crates/filbertgrade-coord/tests/steering/limits.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_coord::names::TeamName;
-use filbertgrade_coord::steering::evidence::StoreEvidence;
 use filbertgrade_coord::steering::quota::{Admission, Limit, Quotas};
-use filbertgrade_coord::steering::retry::{RetryBudget, RetryConfig, second_attempt_after};
+use filbertgrade_coord::steering::retry::{RetryBudget, RetryConfig, hedge_delay};
+use filbertgrade_coord::steering::store_health::StoreHealth;
 use indexmap::IndexMap;
 use rstest::rstest;
 
@@ -91,13 +91,13 @@
                 if m != n && m / of_region == n / of_region && heard(m, n) {
                     self.vms[n]
                         .1
-                        .heard(vm(&format!("vm-{m}")), told.clone(), now);
+                        .record_peer_demand(vm(&format!("vm-{m}")), told.clone(), now);
                 }
             }
             for (place, told) in regions.iter().enumerate() {
                 if place != n / of_region && heard(place * of_region, n) {
                     let name = region(&format!("r{place}"));
-                    self.vms[n].1.heard_region(name, told.clone(), now);
+                    self.vms[n].1.record_region_demand(name, told.clone(), now);
                 }
             }
         }
@@ -105,16 +105,16 @@
 
     fn send(&mut self, n: usize, now: Instant) -> bool {
         let mut admission = self.vms[n].1.admit(&team(), now);
-        while let Admission::Ask(request) = admission {
+        while let Admission::RequestTokens(request) = admission {
             let holder = (0..self.vms.len())
                 .find(|m| vm(&format!("vm-{m}")) == request.holder)
                 .unwrap();
             admission = if self.cut.is_some_and(|cut| cut == n || cut == holder) {
-                self.vms[n].1.unanswered(request, now)
+                self.vms[n].1.handle_timeout(request, now)
             } else {
                 let (tokens, arrivals) = (request.tokens, request.arrivals);
                 let grant = self.vms[holder].1.grant(&team(), tokens, arrivals, now);
-                self.vms[n].1.answered(request, grant, now)
+                self.vms[n].1.handle_response(request, grant, now)
             };
         }
         let admitted = admission == Admission::Admitted;
@@ -253,12 +253,12 @@
     let peers: Vec<_> = (1..9).map(|n| vm(&format!("vm-{n}"))).collect();
     quotas.set_vms(&peers, &IndexMap::new());
     for peer in &peers {
-        quotas.heard(peer.clone(), HashMap::new(), start);
+        quotas.record_peer_demand(peer.clone(), HashMap::new(), start);
     }
     let now = start + Duration::from_secs(1);
     let mut admission = quotas.admit(&team(), now);
-    while let Admission::Ask(request) = admission {
-        admission = quotas.unanswered(request, now);
+    while let Admission::RequestTokens(request) = admission {
+        admission = quotas.handle_timeout(request, now);
     }
     assert_eq!(admission, Admission::Admitted);
 }
@@ -288,9 +288,9 @@
 /// Guards against second attempts that common variation causes.
 #[test]
 fn second_attempt_waits_for_twice_the_expected_time() {
-    let after = second_attempt_after(Duration::from_millis(400), Duration::from_millis(500));
+    let after = hedge_delay(Duration::from_millis(400), Duration::from_millis(500));
     assert_eq!(after, Duration::from_millis(800));
-    let after = second_attempt_after(Duration::from_millis(10), Duration::from_millis(500));
+    let after = hedge_delay(Duration::from_millis(10), Duration::from_millis(500));
     assert_eq!(after, Duration::from_millis(250));
 }
 
@@ -301,28 +301,31 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let limit = Duration::from_millis(4_500);
-    let mut evidence = StoreEvidence::default();
-    assert!(!evidence.is_within(limit, at(0)));
+    let mut evidence = StoreHealth::default();
+    assert!(!evidence.is_confirmed_within(limit, at(0)));
     evidence.confirm(at(100));
-    evidence.answered(at(120));
-    assert!(evidence.is_within(limit, at(4_600)));
-    assert!(!evidence.is_within(limit, at(4_601)));
+    evidence.record_success(at(120));
+    assert!(evidence.is_confirmed_within(limit, at(4_600)));
+    assert!(!evidence.is_confirmed_within(limit, at(4_601)));
     // An older answer that arrives late proves nothing newer.
     evidence.confirm(at(50));
-    assert!(!evidence.is_within(limit, at(4_601)));
+    assert!(!evidence.is_confirmed_within(limit, at(4_601)));
     assert!(
-        !evidence.failed(at(110)),
+        !evidence.record_failure(at(110)),
         "the call began before the last answer"
     );
-    assert!(evidence.failed(at(1_000)));
-    assert!(!evidence.failed(at(1_200)), "only the first one counts");
-    let outage = evidence.answered(at(3_000)).unwrap();
+    assert!(evidence.record_failure(at(1_000)));
+    assert!(
+        !evidence.record_failure(at(1_200)),
+        "only the first one counts"
+    );
+    let outage = evidence.record_success(at(3_000)).unwrap();
     assert_eq!(outage, Duration::from_millis(2_000));
     assert_eq!(evidence.last_outage().unwrap().ended_at, at(3_000));
     assert_eq!(
-        evidence.steady_for(start, at(5_000)),
+        evidence.available_for(start, at(5_000)),
         Duration::from_millis(2_000)
     );
-    evidence.forget();
-    assert!(!evidence.is_within(limit, at(3_001)));
+    evidence.clear_confirmation();
+    assert!(!evidence.is_confirmed_within(limit, at(3_001)));
 }
