--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -1,57 +1,62 @@
 //! Keeps each team within its rate and burst over all VMs.
 //!
-//! Answers one team that sends several times its rate, teams whose requests
-//! arrive at many VMs so that each sees less than one a second, callers that
-//! move from one VM to another, and VMs that lose contact with the others.
+//! Designed for one team that sends several times its rate, teams whose
+//! requests arrive at many VMs so that each VM sees less than one a second,
+//! callers that move from one VM to another, and VMs that lose contact with
+//! each other.
 //!
-//! A team's limit is divided over regions by what arrives there. Within a
-//! region a few VMs, the team's [holders](HOLDERS), keep the region's part in
-//! token buckets, and the other VMs ask them for tokens. A VM whose question
-//! is not answered has a small part of its own, which the holders leave to it
-//! once they hear nothing of it.
+//! A team's limit is divided over regions by the arrivals there. Within a region
+//! a few VMs, the team's [holders](HOLDERS), keep the region's share in token
+//! buckets, and the other VMs request tokens from them. A VM whose token
+//! requests time out falls back to a small bucket of its own. To leave room for
+//! these fallback buckets, holders reduce their share by the fraction of the
+//! region's VMs from which heartbeats have timed out.
 
-mod asked;
 mod division;
-mod held;
+mod holder;
 mod rate;
+mod requester;
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use indexmap::IndexMap;
 
-use self::asked::AskedPart;
-use self::division::Others;
-use self::held::HeldPart;
+use self::division::RemoteDemand;
+use self::holder::HolderState;
+use self::requester::RequesterState;
 use crate::bucket::{Part, TokenBucket};
 use crate::names::{RegionName, TeamName, VmName};
 use crate::rendezvous;
 
-/// VMs of a region that keep a team's part. With several, the team is served
-/// while one of them is down and not yet known to be.
+/// Number of VMs in a region that hold a team's tokens. With more than one, the
+/// team is served while one of them is down and has not timed out yet.
 pub const HOLDERS: usize = 2;
 
-/// Time over which arrivals are averaged. Shorter makes the parts jump with
-/// chance, longer lets callers that moved wait for their part.
-const DEMAND_TIME: Duration = Duration::from_millis(700);
+/// Window over which arrivals are averaged. A shorter one makes the shares
+/// fluctuate with random arrivals; a longer one delays the tokens of callers
+/// that moved to another region.
+const DEMAND_WINDOW: Duration = Duration::from_millis(700);
 
-/// Requests a second of an even part of a region below which a larger part is
-/// taken at once. Single requests make such parts jump, and what is admitted
-/// too much stays within the requests that users bear beyond a limit.
-const SMALL_PART: f64 = 8.0;
+/// A larger share is applied immediately when the limit, divided evenly over the
+/// regions, is less than this rate in requests a second. Single requests make
+/// such shares fluctuate, and the excess that this admits stays within the
+/// allowance.
+const SMALL_SHARE_RATE: f64 = 8.0;
 
-/// How often parts are computed anew, and the VMs in contact looked at.
-const DIVIDE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which shares are computed and the holder candidates refreshed.
+const DIVISION_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Arrivals for which a VM asks for tokens ahead, so that a team with many
-/// requests costs few questions.
-const AHEAD_TIME: Duration = Duration::from_millis(100);
+/// A VM requests tokens for the arrivals that it expects in this time, so that
+/// a team with many requests needs few token requests.
+const PREFETCH_WINDOW: Duration = Duration::from_millis(100);
 
-/// Longest time for which a VM refuses a team's requests without asking again.
-const EMPTY_TIME: Duration = Duration::from_millis(50);
+/// Longest time for which a VM refuses a team's requests without another token
+/// request.
+const MAX_EMPTY_TIME: Duration = Duration::from_millis(50);
 
-/// How long a holder that did not answer is not asked again.
-const UNANSWERED_TIME: Duration = Duration::from_secs(1);
+/// How long no tokens are requested from a holder after it did not respond.
+const HOLDER_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A team's limit over all VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,95 +70,99 @@
 /// Whether a request is within its team's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// It is.
+    /// The request is admitted.
     Admitted,
-    /// It is not; a token may be there after this time.
+    /// No token is left; one may be available after this time.
     Refused(Duration),
-    /// A holder has to be asked. What follows from its answer is told by
-    /// [`Quotas::handle_response`], or without an answer by [`Quotas::handle_timeout`].
+    /// Tokens have to be requested from a holder. Its response is passed to
+    /// [`Quotas::handle_response`], and a time-out to
+    /// [`Quotas::handle_timeout`]; both return the next step.
     RequestTokens(TokenRequest),
 }
 
-/// A question to a holder.
+/// A token request to a holder.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenRequest {
     /// The team.
     pub team: TeamName,
-    /// The VM to ask.
+    /// The VM to which the request is sent.
     pub holder: VmName,
-    /// Tokens that are wanted, at least one.
+    /// Number of tokens that are wanted, at least one.
     pub tokens: u32,
-    /// Requests of the team that arrived and that no holder has counted.
+    /// Arrivals of the team that have not been reported to a holder.
     pub arrivals: u32,
-    /// Place of the holder among those of the team.
+    /// Index of the holder among those of the team.
     rank: usize,
-    /// The shortest wait that a holder has told; `None` while none has answered.
+    /// The shortest wait that a holder has reported; `None` while none has.
     wait: Option<Duration>,
 }
 
-/// A holder's answer.
+/// A holder's response to a token request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Grant {
-    /// Tokens, at least one and at most as many as were wanted.
+    /// Number of tokens granted: at least one and at most as many as were
+    /// requested.
     Tokens(u32),
-    /// None is left; one may be there after this time.
+    /// No token is left; one may be available after this time.
     Empty(Duration),
-    /// The VM that was asked is not a holder, as far as it knows.
+    /// The VM is not a holder of the team by its own list of VMs.
     NotHolder,
 }
 
-/// The limits of all teams, as one VM keeps them.
+/// The limits of all teams as one VM enforces them: as a requester, and for
+/// some teams as a holder.
 #[derive(Debug)]
 pub struct Quotas {
-    me: VmName,
-    /// This VM is about to stop and holds nothing.
+    local_vm: VmName,
+    /// This VM is about to stop and is no holder any more.
     leaving: bool,
     teams: HashMap<TeamName, TeamQuota>,
-    others: Others,
-    /// VMs of this region that may be holders.
-    candidates: Candidates,
-    /// Holders that did not answer, and until when they are not asked.
-    unanswered: HashMap<VmName, Instant>,
-    /// Tokens beyond all bursts that users bear, over all VMs.
+    remote: RemoteDemand,
+    candidates: HolderCandidates,
+    /// Holders that did not respond, and until when each of them is skipped.
+    holder_backoff: HashMap<VmName, Instant>,
+    /// Allowed excess of a team over its rate and burst, in requests over all VMs.
     allowance: f64,
 }
 
-/// VMs of this region that are in contact.
+/// VMs of this region that can be holders: this one, and those in contact with
+/// it that are not about to stop.
 #[derive(Debug, Default)]
-struct Candidates {
-    /// In the order of their names.
+struct HolderCandidates {
+    /// Sorted by name.
     vms: Vec<VmName>,
-    /// Changes whenever `vms` does.
-    number: u64,
-    looked_at: Option<Instant>,
+    /// Incremented whenever `vms` changes.
+    generation: u64,
+    /// `None` when the candidates have to be refreshed before the next use.
+    refreshed_at: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct TeamQuota {
     limit: Limit,
-    /// The VMs to ask, in this order, and the number of the candidates from
-    /// which they were chosen.
+    /// The VMs that hold the team's tokens, in the order in which they are
+    /// tried, and the generation of the candidates that they were chosen from.
     holders: Option<(u64, Vec<VmName>)>,
-    held: HeldPart,
-    asked: AskedPart,
+    holder_state: HolderState,
+    requester_state: RequesterState,
 }
 
 impl Quotas {
-    /// Starts without limits, on a VM that knows of no others.
-    pub fn new(me: VmName) -> Self {
+    /// Starts without limits and without other VMs.
+    pub fn new(local_vm: VmName) -> Self {
         Self {
-            me,
+            local_vm,
             leaving: false,
             teams: HashMap::new(),
-            others: Others::default(),
-            candidates: Candidates::default(),
-            unanswered: HashMap::new(),
+            remote: RemoteDemand::default(),
+            candidates: HolderCandidates::default(),
+            holder_backoff: HashMap::new(),
             allowance: 0.0,
         }
     }
 
-    /// Replaces the limits of all teams. Teams that keep their limit keep
-    /// their tokens; a new team starts without tokens.
+    /// Replaces the limits of all teams. A team that was known before keeps its
+    /// tokens; a new one starts with one token in each bucket.
     pub fn set_limits(
         &mut self,
         limits: impl IntoIterator<Item = (TeamName, Limit)>,
@@ -172,78 +181,88 @@
         }
     }
 
-    /// Sets how many requests beyond rate and burst users bear in a window, over
-    /// all VMs.
+    /// Sets the allowed excess: how many requests of a team beyond rate and
+    /// burst may be admitted in a window, over all VMs.
     pub fn set_allowance(&mut self, allowance: f64) {
         self.allowance = allowance;
     }
 
-    /// Replaces the list of the other VMs that may admit requests: those of
-    /// this region, and the number in each other region. What a VM or region
-    /// that is not in it told does not count any more.
+    /// Replaces the list of the other VMs that may admit requests: the names of
+    /// those in this region, and the number of them in each other region.
+    /// Reports of VMs and regions that are not on the list are dropped.
     pub fn set_vms(&mut self, peers: &[VmName], regions: &IndexMap<RegionName, usize>) {
-        self.others.set_listed(peers, regions);
-        self.unanswered.retain(|vm, _| peers.contains(vm));
-        self.candidates.looked_at = None;
+        self.remote.set_listed(peers, regions);
+        self.holder_backoff.retain(|vm, _| peers.contains(vm));
+        self.candidates.refreshed_at = None;
     }
 
-    /// Notes the arrivals at all VMs of another region.
+    /// Records the arrivals at all VMs of another region, in requests a second
+    /// by team.
     pub fn record_region_demand(
         &mut self,
         region: RegionName,
-        teams: HashMap<TeamName, f64>,
+        arrivals: HashMap<TeamName, f64>,
         now: Instant,
     ) {
-        self.others.heard_region(region, teams, now);
+        self.remote.record_region(region, arrivals, now);
     }
 
-    /// Notes the arrivals that another VM of this region counts as a holder.
-    pub fn record_peer_demand(&mut self, vm: VmName, teams: HashMap<TeamName, f64>, now: Instant) {
-        if self.others.heard_peer(vm, teams, now) {
-            self.candidates.looked_at = None;
+    /// Records the arrivals that another VM of this region counts as a holder,
+    /// in requests a second by team.
+    pub fn record_peer_demand(
+        &mut self,
+        vm: VmName,
+        arrivals: HashMap<TeamName, f64>,
+        now: Instant,
+    ) {
+        if self.remote.record_peer(vm, arrivals, now) {
+            self.candidates.refreshed_at = None;
         }
     }
 
-    /// Notes that another VM of this region is about to stop. It holds nothing
-    /// from now on, and still asks.
+    /// Records that another VM of this region is about to stop. It is no holder
+    /// from now on, but may still request tokens.
     pub fn mark_peer_leaving(&mut self, vm: &VmName) {
-        self.others.peer_leaves(vm);
-        self.candidates.looked_at = None;
+        self.remote.mark_peer_leaving(vm);
+        self.candidates.refreshed_at = None;
     }
 
-    /// Notes that this VM is about to stop.
+    /// Records that this VM is about to stop. It is no holder from now on,
+    /// unless no other VM of the region can be one.
     pub fn mark_leaving(&mut self) {
         self.leaving = true;
-        self.candidates.looked_at = None;
+        self.candidates.refreshed_at = None;
     }
 
     /// Arrivals by team that this VM counts as a holder, in requests a second,
-    /// for the other VMs.
+    /// to be reported to the other VMs of the region.
     ///
-    /// Parts are divided by what was told last, so that a VM does not see its
-    /// own arrivals grow before those of others.
+    /// Shares are computed from the values reported last. Otherwise a VM would
+    /// see its own arrivals grow before those of others.
     pub fn demand(&mut self, now: Instant) -> Vec<(TeamName, f64)> {
         self.teams
             .iter_mut()
             .filter(|(_, quota)| quota.limit.rate > 0.0)
             .map(|(team, quota)| {
-                quota.held.told = quota.held.arrivals.get(now);
-                (team.clone(), quota.held.told)
+                quota.holder_state.reported = quota.holder_state.arrivals.get(now);
+                (team.clone(), quota.holder_state.reported)
             })
             .filter(|(_, rate)| *rate > 0.01)
             .collect()
     }
 
-    /// Arrivals in this region by team, for the other regions.
+    /// Arrivals in this region by team, in requests a second, to be reported to
+    /// the other regions.
     pub fn region_demand(&mut self, now: Instant) -> Vec<(TeamName, f64)> {
         let mut sum: IndexMap<TeamName, f64> = self.demand(now).into_iter().collect();
-        for (team, rate) in self.others.peer_arrivals(now) {
+        for (team, rate) in self.remote.peer_arrivals(now) {
             *sum.entry(team.clone()).or_default() += rate;
         }
         sum.into_iter().collect()
     }
 
-    /// Decides whether a request of a team is within its limit.
+    /// Decides whether a request of a team is within its limit. A team that is
+    /// not known is not limited.
     pub fn admit(&mut self, team: &TeamName, now: Instant) -> Admission {
         let Some(quota) = self.teams.get_mut(team) else {
             return Admission::Admitted;
@@ -251,76 +270,77 @@
         if quota.limit.rate <= 0.0 {
             return Admission::Admitted;
         }
-        let asked = &mut quota.asked;
-        asked.arrivals.count(1, now);
-        asked.uncounted = asked.uncounted.saturating_add(1);
-        if asked.take_ahead(now) {
+        let requester = &mut quota.requester_state;
+        requester.arrivals.record(1, now);
+        requester.unreported = requester.unreported.saturating_add(1);
+        if requester.take_prefetched(now) {
             return Admission::Admitted;
         }
-        if let Some((until, wait)) = asked.empty
+        if let Some((until, wait)) = requester.empty
             && now < until
         {
             return Admission::Refused(wait);
         }
-        let ahead = asked.arrivals.get(now) * AHEAD_TIME.as_secs_f64();
+        let prefetch = requester.arrivals.get(now) * PREFETCH_WINDOW.as_secs_f64();
         let request = TokenRequest {
             team: team.clone(),
-            holder: self.me.clone(),
-            tokens: 1 + ahead as u32,
-            arrivals: std::mem::take(&mut asked.uncounted),
+            holder: self.local_vm.clone(),
+            tokens: 1 + prefetch as u32,
+            arrivals: std::mem::take(&mut requester.unreported),
             rank: 0,
             wait: None,
         };
-        self.ask(request, now)
+        self.try_holders(request, now)
     }
 
-    /// What follows from a holder's answer.
+    /// Returns the next step after a holder's response.
     pub fn handle_response(
         &mut self,
         request: TokenRequest,
         grant: Grant,
         now: Instant,
     ) -> Admission {
-        self.unanswered.remove(&request.holder);
-        self.take_grant(request, grant, now)
+        self.holder_backoff.remove(&request.holder);
+        self.apply_grant(request, grant, now)
     }
 
-    /// What follows when a holder does not answer in time.
+    /// Returns the next step when a holder does not respond in time.
     pub fn handle_timeout(&mut self, mut request: TokenRequest, now: Instant) -> Admission {
-        self.unanswered
-            .insert(request.holder.clone(), now + UNANSWERED_TIME);
+        self.holder_backoff
+            .insert(request.holder.clone(), now + HOLDER_BACKOFF);
         request.rank += 1;
-        self.ask(request, now)
+        self.try_holders(request, now)
     }
 
-    /// Answers another VM that asks for tokens, and counts the arrivals that it
-    /// tells.
+    /// Handles a token request as a holder, and counts the arrivals that it
+    /// reports.
     pub fn grant(&mut self, team: &TeamName, tokens: u32, arrivals: u32, now: Instant) -> Grant {
-        if !self.holders(team, now).contains(&self.me) {
+        if !self.holders(team, now).contains(&self.local_vm) {
             return Grant::NotHolder;
         }
         let Some(quota) = self.teams.get_mut(team) else {
             return Grant::NotHolder;
         };
-        quota.held.arrivals.count(arrivals, now);
-        if quota.held.is_division_due(now) {
-            let share = due(&mut self.others, team, quota, now);
-            quota.divide(share, self.others.regions(), self.allowance, now);
+        quota.holder_state.arrivals.record(arrivals, now);
+        if quota.holder_state.is_division_due(now) {
+            let target = target_share(&mut self.remote, team, quota, now);
+            quota.apply_share(target, self.remote.region_count(), self.allowance, now);
         }
-        quota.held.take(tokens.max(1), now)
+        quota.holder_state.grant(tokens.max(1), now)
     }
 
-    /// Asks the holders that are left, this VM among them, as far as that is
-    /// possible without a message.
-    fn ask(&mut self, mut request: TokenRequest, now: Instant) -> Admission {
+    /// Tries the remaining holders in their order. When this VM is one of them,
+    /// it grants the token itself; for another one, the token request is
+    /// returned.
+    fn try_holders(&mut self, mut request: TokenRequest, now: Instant) -> Admission {
         let holders = self.holders(&request.team, now);
         while let Some(holder) = holders.get(request.rank) {
-            if *holder == self.me {
+            if *holder == self.local_vm {
                 let grant = self.grant(&request.team, 1, request.arrivals, now);
-                return self.take_grant(request, grant, now);
+                return self.apply_grant(request, grant, now);
             }
             if self
-                .unanswered
+                .holder_backoff
                 .get(holder)
                 .is_none_or(|until| now >= *until)
             {
@@ -329,14 +349,16 @@
             }
             request.rank += 1;
         }
-        self.settle(&request, now)
+        self.admit_without_holders(&request, now)
     }
 
-    fn take_grant(&mut self, mut request: TokenRequest, grant: Grant, now: Instant) -> Admission {
+    fn apply_grant(&mut self, mut request: TokenRequest, grant: Grant, now: Instant) -> Admission {
         match grant {
             Grant::Tokens(tokens) => {
                 if let Some(quota) = self.teams.get_mut(&request.team) {
-                    quota.asked.add_ahead(tokens.saturating_sub(1), now);
+                    quota
+                        .requester_state
+                        .set_prefetched(tokens.saturating_sub(1), now);
                 }
                 return Admission::Admitted;
             }
@@ -347,38 +369,46 @@
             Grant::NotHolder => {}
         }
         request.rank += 1;
-        self.ask(request, now)
+        self.try_holders(request, now)
     }
 
-    /// Decides when no holder is left to ask.
-    fn settle(&mut self, request: &TokenRequest, now: Instant) -> Admission {
-        let vms = self.others.vms() as f64;
+    /// Decides when no holder is left to try. The fallback bucket is used only
+    /// when no holder has responded that it is empty.
+    fn admit_without_holders(&mut self, request: &TokenRequest, now: Instant) -> Admission {
+        let vms = self.remote.vm_count() as f64;
         let Some(quota) = self.teams.get_mut(&request.team) else {
             return Admission::Admitted;
         };
-        quota.asked.uncounted = quota.asked.uncounted.saturating_add(request.arrivals);
+        quota.requester_state.unreported = quota
+            .requester_state
+            .unreported
+            .saturating_add(request.arrivals);
         if request.wait.is_none() {
             // A bucket under one token could never admit a request.
             let part = Part::new(quota.limit.rate / vms, 1.0);
-            quota.asked.alone.set_part(part.unwrap_or(Part::ZERO), now);
-            if quota.asked.alone.try_take(now) {
+            quota
+                .requester_state
+                .fallback
+                .set_part(part.unwrap_or(Part::ZERO), now);
+            if quota.requester_state.fallback.try_take(now) {
                 return Admission::Admitted;
             }
         }
-        let wait = request.wait.unwrap_or(DEMAND_TIME);
-        quota.asked.empty = Some((now + wait.min(EMPTY_TIME), wait));
+        let wait = request.wait.unwrap_or(DEMAND_WINDOW);
+        quota.requester_state.empty = Some((now + wait.min(MAX_EMPTY_TIME), wait));
         Admission::Refused(wait)
     }
 
-    /// The VMs of this region to ask for a team's tokens, in this order.
+    /// The VMs of this region that hold a team's tokens, in the order in which
+    /// they are tried.
     fn holders(&mut self, team: &TeamName, now: Instant) -> Vec<VmName> {
-        self.look_at_candidates(now);
-        let number = self.candidates.number;
+        self.refresh_candidates(now);
+        let generation = self.candidates.generation;
         let Some(quota) = self.teams.get_mut(team) else {
             return Vec::new();
         };
         match &quota.holders {
-            Some((chosen_from, holders)) if *chosen_from == number => holders.clone(),
+            Some((chosen_from, holders)) if *chosen_from == generation => holders.clone(),
             _ => {
                 let key = format!("team/{team}");
                 let vms = self.candidates.vms.iter().map(VmName::as_str);
@@ -388,50 +418,56 @@
                     vms.find(|vm| vm.as_str() == *name).cloned()
                 };
                 let holders: Vec<VmName> = top.iter().filter_map(find).collect();
-                quota.holders = Some((number, holders.clone()));
+                quota.holders = Some((generation, holders.clone()));
                 holders
             }
         }
     }
 
-    fn look_at_candidates(&mut self, now: Instant) {
-        let is_fresh = |at| now.saturating_duration_since(at) < DIVIDE_INTERVAL;
-        if self.candidates.looked_at.is_some_and(is_fresh) {
+    fn refresh_candidates(&mut self, now: Instant) {
+        let is_fresh = |at| now.saturating_duration_since(at) < DIVISION_INTERVAL;
+        if self.candidates.refreshed_at.is_some_and(is_fresh) {
             return;
         }
-        let mut vms = self.others.holding_peers(now);
+        let mut vms = self.remote.holder_candidates(now);
         if !self.leaving || vms.is_empty() {
-            vms.push(self.me.clone());
+            vms.push(self.local_vm.clone());
         }
         vms.sort();
         if vms != self.candidates.vms {
             self.candidates.vms = vms;
-            self.candidates.number += 1;
+            self.candidates.generation += 1;
         }
-        self.candidates.looked_at = Some(now);
+        self.candidates.refreshed_at = Some(now);
     }
 }
 
-/// The part of the limit that is due to this VM as one of the team's holders.
+/// The share of the limit, from 0 to 1, that this VM should apply as one of the
+/// team's holders.
 ///
-/// While a region may have stopped telling its arrivals it is the part in
-/// force, or before any was in force an even one.
-fn due(others: &mut Others, team: &TeamName, quota: &TeamQuota, now: Instant) -> f64 {
-    let arrivals = if quota.is_small(others.regions()) {
-        quota.held.arrivals.get(now)
+/// While the report of a VM or region is overdue, it is the share in force, or
+/// one by the number of VMs if none has been computed for this limit.
+fn target_share(
+    remote: &mut RemoteDemand,
+    team: &TeamName,
+    quota: &TeamQuota,
+    now: Instant,
+) -> f64 {
+    let arrivals = if quota.has_small_shares(remote.region_count()) {
+        quota.holder_state.arrivals.get(now)
     } else {
-        quota.held.told
+        quota.holder_state.reported
     };
-    let region = match others.region_part(team, quota.limit.rate, arrivals, now) {
-        Some(part) => part,
-        None if quota.held.divided_at.is_some() => return quota.held.share,
-        None => others.even_part(),
+    let region = match remote.region_share(team, quota.limit.rate, arrivals, now) {
+        Some(share) => share,
+        None if quota.holder_state.divided_at.is_some() => return quota.holder_state.share,
+        None => remote.even_share(),
     };
     let holders = quota
         .holders
         .as_ref()
         .map_or(1, |(_, vms)| vms.len().max(1));
-    region * others.reach(now) / holders as f64
+    region * remote.reachable_fraction(now) / holders as f64
 }
 
 impl TeamQuota {
@@ -439,37 +475,38 @@
         Self {
             limit,
             holders: None,
-            held: HeldPart::new(now),
-            asked: AskedPart::new(now),
+            holder_state: HolderState::new(now),
+            requester_state: RequesterState::new(now),
         }
     }
 
     fn set_limit(&mut self, limit: Limit) {
         if self.limit != limit {
             self.limit = limit;
-            self.held.divided_at = None;
+            self.holder_state.divided_at = None;
         }
     }
 
-    fn is_small(&self, regions: usize) -> bool {
-        self.limit.rate < SMALL_PART * regions as f64
+    fn has_small_shares(&self, regions: usize) -> bool {
+        self.limit.rate < SMALL_SHARE_RATE * regions as f64
     }
 
-    fn divide(&mut self, due: f64, regions: usize, allowance: f64, now: Instant) {
-        let at_once = self.is_small(regions);
-        let held = &mut self.held;
-        let share = held.risen(due, at_once, now);
-        held.divided_at = Some(now);
+    fn apply_share(&mut self, target: f64, regions: usize, allowance: f64, now: Instant) {
+        let at_once = self.has_small_shares(regions);
+        let holder = &mut self.holder_state;
+        let share = holder.update_share(target, at_once, now);
+        holder.divided_at = Some(now);
         let rate = self.limit.rate * share;
         // A bucket under one token could never admit a request.
         let burst = ((self.limit.burst + allowance) * share).max(1.0);
         let part = Part::new(rate, burst).unwrap_or(Part::ZERO);
-        held.bucket.set_part(part, now);
+        holder.bucket.set_part(part, now);
     }
 }
 
-/// A bucket with one token, so that the first request of a quiet team runs.
-fn one_token(now: Instant) -> TokenBucket {
+/// A bucket that starts with one token, so that the first request of a team
+/// with few requests is admitted.
+fn one_token_bucket(now: Instant) -> TokenBucket {
     let mut bucket = TokenBucket::new(Part::ZERO, now);
     bucket.add_part(Part::new(0.0, 1.0).unwrap_or(Part::ZERO), 1.0, now);
     bucket
