--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -166,7 +166,7 @@
     /// The part of the route for a request, by a number that is spread evenly.
     pub fn select_service(&self, spread: u64) -> &WeightedService {
         let total: f64 = self.services.iter().map(|part| part.weight).sum();
-        let mut point = crate::steering::placement::unit(spread) * total;
+        let mut point = crate::steering::placement::unit_interval(spread) * total;
         for part in &self.services {
             point -= part.weight;
             if point < 0.0 {
