--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -10,67 +10,70 @@
 
 use crate::names::{RegionName, RouteName, ServiceName, TeamName};
 
-/// One version of the configuration, as a whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// Number of the version; later versions have higher numbers.
+    /// Version number; later versions have higher numbers.
     pub version: u64,
-    /// Routes by host and path.
+    /// Routes, which are looked up by host and path.
     pub routes: RouteTable,
     /// Services by name.
     pub services: IndexMap<ServiceName, Service>,
     /// Teams by name.
     pub teams: IndexMap<TeamName, Arc<Team>>,
-    /// Teams by the keys that they hold.
+    /// Teams by their API keys; a team may have several.
     pub keys: HashMap<ApiKey, Arc<Team>>,
-    /// What callers may send.
+    /// Limits on the size and duration of callers' requests.
     pub limits: Limits,
 }
 
-/// A key that a caller shows. Its text is not printed.
+/// An API key that a caller sends to identify its team. `Debug` does not print
+/// its text.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Arc<str>);
 
-/// Where requests of one host and path prefix go, and how.
+/// How requests of one host and path prefix are routed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Name, unique among routes.
     pub name: RouteName,
-    /// Host, without a port.
+    /// Host in lower case, without a port.
     pub host: Arc<str>,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be done with its requests.
+    /// How often its requests may run.
     pub kind: RequestKind,
-    /// Longest time that a caller waits for an answer.
+    /// Longest time that a caller waits for a response; `None` when the route sets
+    /// none.
     pub timeout: Option<Duration>,
-    /// Time within which an answer is of full use to the caller.
+    /// Latency up to which a response has its full value for the caller.
     pub target_latency: Duration,
-    /// Endpoints that one request may be sent to; at least 1.
+    /// Largest number of endpoints to which one request is sent; at least 1.
     pub max_attempts: u32,
-    /// Rank; 0 is the most urgent.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u32,
-    /// Regions in which requests may run; empty allows all.
+    /// Regions in which its requests may run; empty allows all.
     pub home_regions: Vec<RegionName>,
-    /// No key is needed.
+    /// Requests need no API key.
     pub public: bool,
-    /// An endpoint that handled an object recently handles it faster.
+    /// Requests for one object prefer one endpoint, because an endpoint that
+    /// handled an object recently handles it faster.
     pub sticky: bool,
-    /// Services with their weights. Invariant: not empty, and the sum of the
-    /// weights is positive.
+    /// Services among which requests are split. Invariant: not empty, and the sum
+    /// of the weights is positive.
     pub services: Vec<WeightedService>,
 }
 
-/// One service of a route.
+/// One service of a route with its share of the route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Weight among the parts; finite and not negative.
+    /// Weight relative to the route's other services; finite and not negative.
     pub weight: f64,
 }
 
-/// What may be done with a request.
+/// How often a request may run, and whether its body is large.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// It may run more than once.
@@ -81,55 +84,56 @@
     Upload,
 }
 
-/// A group of backend servers with the same work.
+/// A group of backend servers that handle the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name, unique among services.
     pub name: ServiceName,
-    /// Connections that an endpoint accepts from all VMs together.
+    /// Number of connections that an endpoint accepts from all VMs together.
     pub max_connections: u32,
-    /// How long an endpoint is cold after its start.
+    /// How long an endpoint is cold after its start, and takes only `cold_rate`.
     pub cold_time: Duration,
-    /// Requests a second that a cold endpoint takes from all VMs together.
+    /// Rate in requests a second that a cold endpoint takes from all VMs together.
     pub cold_rate: f64,
 }
 
 /// A team with its limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Name.
+    /// Name, unique among teams.
     pub name: TeamName,
-    /// Rank of its requests in place of the route's.
+    /// Priority of its requests, which replaces that of the route; `None` keeps
+    /// the route's.
     pub priority: Option<u32>,
-    /// Requests a second over all VMs; zero means no limit.
+    /// Rate in requests a second over all VMs; zero means no limit.
     pub rate: f64,
-    /// Requests beyond the rate; zero means none.
+    /// Number of requests that are admitted beyond the rate.
     pub burst: f64,
     /// Regions in which its requests may run; empty allows all.
     pub home_regions: Vec<RegionName>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on the size and duration of callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Largest size of a request head in bytes.
     pub head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Largest size of a request body in bytes.
     pub body_bytes: u64,
-    /// Longest time for the head of a request.
+    /// Longest time until a request head has been received.
     pub head_timeout: Duration,
-    /// Longest time between two requests on a connection.
+    /// Longest time that a connection may be idle between two requests.
     pub idle_timeout: Duration,
 }
 
-/// Routes by host, the longest prefix first.
+/// Routes by host. Those of one host are sorted by prefix, the longest first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Orders routes for look-ups.
+    /// Builds the table.
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -144,9 +148,10 @@
         Self { hosts }
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// Finds the route of a host whose prefix is the longest one that matches
+    /// `path`.
     ///
-    /// A port after the host is ignored, and so is the case of the host.
+    /// The case of the host and a port after it are ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
@@ -156,37 +161,38 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// All routes.
+    /// All routes, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
 }
 
 impl Route {
-    /// The part of the route for a request, by a number that is spread evenly.
+    /// Selects the service for a request by weight. `spread` is a number that is
+    /// uniformly distributed over requests, such as a hash.
     pub fn select_service(&self, spread: u64) -> &WeightedService {
-        let total: f64 = self.services.iter().map(|part| part.weight).sum();
+        let total: f64 = self.services.iter().map(|service| service.weight).sum();
         let mut point = crate::steering::placement::unit_interval(spread) * total;
-        for part in &self.services {
-            point -= part.weight;
+        for service in &self.services {
+            point -= service.weight;
             if point < 0.0 {
-                return part;
+                return service;
             }
         }
-        // Rounding can leave a rest after the last part.
+        // Rounding errors can leave `point` at zero or above after the last service.
         &self.services[self.services.len() - 1]
     }
 }
 
 impl RequestKind {
-    /// The request may run more than once.
+    /// Returns true if the request may run more than once.
     pub fn is_idempotent(self) -> bool {
         self == Self::Idempotent
     }
 }
 
 impl ApiKey {
-    /// Takes the text of a key.
+    /// Creates a key from its text.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text))
     }
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -1,8 +1,9 @@
-//! Which VMs take callers, as far as this one knows.
+//! Which VMs of the fleet run and can serve callers, by this VM's best known
+//! estimate.
 //!
-//! Answers VMs that are killed, cut off, frozen or replaced. A VM is listed in
-//! the store from its start until it stops; whether it runs is known from the
-//! heartbeats that VMs send each other.
+//! Handles VMs that are killed, partitioned, frozen or replaced. A VM is listed
+//! in the store from its start until it stops; whether it runs is detected by
+//! the heartbeats that VMs send each other.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,95 +12,102 @@
 use crate::names::{FailureDomainName, RegionName, VmName};
 use crate::rendezvous;
 
-/// Time without a heartbeat after which a VM counts as down. Single datagrams
-/// are lost, so it is several intervals.
+/// Time without a heartbeat after which a VM is considered down. It spans
+/// several heartbeat intervals, because single datagrams are lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Most VMs that a look-up names.
-pub const MOST_NAMED: usize = 64;
+/// Largest number of VMs in the response to a look-up.
+pub const MAX_LOOKUP_VMS: usize = 64;
 
-/// VMs that ask one VM in place of the store. A small VM has a link of some
-/// Mbit/s, on which it has to tell each of them a whole configuration in time.
-const RELAY_CHILDREN: usize = 10;
+/// Largest number of VMs that poll one VM in place of the store. A small VM has
+/// a link of a few Mbit/s, over which it must send each of them a whole
+/// configuration in time.
+const RELAY_FANOUT: usize = 10;
 
-/// Rank of the VM that others ask when theirs has lost the store. It asks the
-/// first one, or the store when that has lost it too.
-const SECOND_RELAY: usize = 1;
+/// Rank of the VM that the others poll when their own relay has lost the store.
+/// It polls the VM of rank 0, or the store when that VM has lost the store too.
+const FALLBACK_RELAY_RANK: usize = 1;
 
-/// A VM as the store lists it.
+/// A VM as its entry in the store describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Name.
+    /// Name, unique in the fleet.
     pub vm: VmName,
-    /// Number that its process drew at its start.
+    /// Random number of its process, which tells restarts apart.
     pub incarnation: u64,
-    /// Where it takes callers.
+    /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where it takes heartbeats.
+    /// Address for heartbeats and for the calls of VMs that poll it as a relay.
     pub peer_address: SocketAddr,
-    /// Its region.
+    /// Region in which it runs.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain in which it runs.
     pub failure_domain: FailureDomainName,
 }
 
-/// What a heartbeat says of its sender.
+/// State of the sender of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Number that its process drew at its start.
+    /// Random number of its process; see [`Member::incarnation`].
     pub incarnation: u64,
-    /// It can serve callers.
+    /// The VM can serve callers.
     pub ready: bool,
-    /// It is about to stop.
+    /// The VM is about to stop.
     pub leaving: bool,
 }
 
-/// The VMs of the fleet.
+/// The VMs of the fleet, as one of them sees it.
 #[derive(Debug)]
 pub struct Members {
-    me: Member,
+    local: Member,
+    /// The other VMs that the store lists.
     peers: HashMap<VmName, Peer>,
-    /// VMs of this region that were listed lately and are to be greeted.
-    newcomers: Vec<SocketAddr>,
+    /// Peer addresses of VMs of this region that were listed since the last call
+    /// of [`Members::take_new_members`].
+    new_members: Vec<SocketAddr>,
 }
 
 #[derive(Debug)]
 struct Peer {
     member: Member,
-    /// When it was first listed with this incarnation. It counts as running
-    /// for a while, because its heartbeats may be on their way.
+    /// When its current entry was first seen in the list. It is considered
+    /// running until [`HEARTBEAT_TIMEOUT`] has passed, because its first
+    /// heartbeat may still be on its way.
     listed_at: Instant,
-    heard: Option<(Instant, Heartbeat)>,
+    /// The last heartbeat and when it was received; `None` before the first.
+    last_heartbeat: Option<(Instant, Heartbeat)>,
 }
 
 impl Members {
-    /// Starts with this VM alone.
-    pub fn new(me: Member) -> Self {
+    /// Starts with this VM only.
+    pub fn new(local: Member) -> Self {
         Self {
-            me,
+            local,
             peers: HashMap::new(),
-            newcomers: Vec::new(),
+            new_members: Vec::new(),
         }
     }
 
-    /// Replaces the list. Returns true when it changed.
+    /// Replaces the other VMs by those that the store lists. Returns true when
+    /// the list changed. An entry that differs from the previous one of the same
+    /// VM is treated as a new VM.
     pub fn set_listed(&mut self, members: Vec<Member>, now: Instant) -> bool {
         let mut old = std::mem::take(&mut self.peers);
         let mut changed = false;
         for member in members {
-            if member.vm == self.me.vm {
+            if member.vm == self.local.vm {
                 continue;
             }
             let peer = match old.remove(&member.vm) {
                 Some(peer) if peer.member == member => peer,
                 _ => {
                     changed = true;
-                    if member.region == self.me.region {
-                        self.newcomers.push(member.peer_address);
+                    if member.region == self.local.region {
+                        self.new_members.push(member.peer_address);
                     }
                     Peer {
                         listed_at: now,
-                        heard: None,
+                        last_heartbeat: None,
                         member,
                     }
                 }
@@ -109,14 +117,16 @@
         changed || !old.is_empty()
     }
 
-    /// Where the VMs of this region that were listed since the last call take
-    /// heartbeats. They learn from a heartbeat at once who runs.
+    /// Returns the peer addresses of the VMs of this region that were listed since
+    /// the last call. The caller sends each a heartbeat immediately, so that it
+    /// knows at once that this VM runs.
     pub fn take_new_members(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.newcomers)
+        std::mem::take(&mut self.new_members)
     }
 
-    /// Notes a heartbeat. Returns true when the VM was silent before, or says
-    /// something new. Heartbeats of VMs that are not listed are ignored.
+    /// Records a heartbeat. Returns true when it is the first one, the previous
+    /// one had timed out, or the state of the VM has changed. Heartbeats of VMs
+    /// that are not listed, and of another incarnation, are ignored.
     pub fn record_heartbeat(&mut self, vm: &VmName, heartbeat: Heartbeat, now: Instant) -> bool {
         let Some(peer) = self.peers.get_mut(vm) else {
             return false;
@@ -124,66 +134,69 @@
         if peer.member.incarnation != heartbeat.incarnation {
             return false;
         }
-        let before = peer.heard.replace((now, heartbeat));
-        before.is_none_or(|(at, old)| {
+        let previous = peer.last_heartbeat.replace((now, heartbeat));
+        previous.is_none_or(|(at, old)| {
             old != heartbeat || now.saturating_duration_since(at) > HEARTBEAT_TIMEOUT
         })
     }
 
-    /// The other VMs of the list.
+    /// The other VMs that the store lists.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|peer| &peer.member)
     }
 
-    /// The other VMs that have been silent for longer than `limit`.
+    /// The other VMs from which no heartbeat was received for longer than `limit`.
     pub fn timed_out(&self, limit: Duration, now: Instant) -> impl Iterator<Item = &Member> {
         self.peers
             .values()
-            .filter(move |peer| peer.silence(now) > limit)
+            .filter(move |peer| peer.heartbeat_age(now) > limit)
             .map(|peer| &peer.member)
     }
 
-    /// Where the VM takes calls that follows the store for its region; `None`
-    /// when it is this one.
+    /// Peer address of the VM that this one polls in place of the store. `None`
+    /// when this VM polls the store itself, on behalf of its region.
     pub fn relay(&self, now: Instant) -> Option<SocketAddr> {
         self.relays(now).into_iter().next()
     }
 
-    /// Where the VMs take calls that this one asks in place of the store, in
-    /// this order. The second one is for when the first has lost the store.
+    /// Peer addresses of the VMs that this one polls in place of the store, in
+    /// order of preference. The second one is used while the first has lost the
+    /// store.
     ///
-    /// The VMs of a region form a tree by their rank for the region, so that
-    /// each answers few others however many there are.
+    /// The running VMs of a region form a tree by their rank in a rendezvous hash
+    /// of the region, in which each VM is the first choice of at most ten others,
+    /// however large the region is.
     pub fn relays(&self, now: Instant) -> Vec<SocketAddr> {
-        let in_region = |member: &Member| member.region == self.me.region;
+        let in_region = |member: &Member| member.region == self.local.region;
         let running: HashMap<&str, SocketAddr> = self
             .peers
             .values()
-            .filter(|peer| peer.heard.is_some() && peer.is_running(now))
+            .filter(|peer| peer.last_heartbeat.is_some() && peer.is_running(now))
             .map(|peer| &peer.member)
             .filter(|member| in_region(member))
             .map(|member| (member.vm.as_str(), member.peer_address))
             .collect();
-        let key = format!("relay/{}", self.me.region);
-        let me = self.me.vm.as_str();
+        let key = format!("relay/{}", self.local.region);
+        let local = self.local.vm.as_str();
         let count = running.len() + 1;
-        let ranked = rendezvous::top(&key, running.keys().copied().chain([me]), count);
-        let rank = ranked.iter().position(|name| *name == me).unwrap_or(0);
-        let mut asked = Vec::new();
+        let ranked = rendezvous::top(&key, running.keys().copied().chain([local]), count);
+        let rank = ranked.iter().position(|name| *name == local).unwrap_or(0);
+        let mut relay_ranks = Vec::new();
         if rank > 0 {
-            asked.push((rank - 1) / RELAY_CHILDREN);
+            relay_ranks.push((rank - 1) / RELAY_FANOUT);
         }
-        if rank > SECOND_RELAY && !asked.contains(&SECOND_RELAY) {
-            asked.push(SECOND_RELAY);
+        if rank > FALLBACK_RELAY_RANK && !relay_ranks.contains(&FALLBACK_RELAY_RANK) {
+            relay_ranks.push(FALLBACK_RELAY_RANK);
         }
-        let names = asked.into_iter().filter_map(|rank| ranked.get(rank));
+        let names = relay_ranks.into_iter().filter_map(|rank| ranked.get(rank));
         names
             .filter_map(|name| running.get(name).copied())
             .collect()
     }
 
-    /// Notes which VMs of another region run, and which of them are ready, as
-    /// one of them told.
+    /// Records the summary of another region: its running VMs, and whether each
+    /// is ready. It takes the place of the heartbeats of these VMs, which go to
+    /// other regions only when a VM stops.
     pub fn record_region_summary(
         &mut self,
         region: &RegionName,
@@ -200,90 +213,110 @@
                     ready: *ready,
                     leaving: false,
                 };
-                peer.heard = Some((now, heartbeat));
+                peer.last_heartbeat = Some((now, heartbeat));
             }
         }
     }
 
-    /// The VMs of this region that run, and whether they are ready.
-    pub fn region_summary(&self, me_ready: bool, now: Instant) -> Vec<(VmName, bool)> {
-        let mut state: Vec<(VmName, bool)> = self
+    /// Summary of this region for the other ones: its running VMs, this one
+    /// included, and whether each is ready.
+    pub fn region_summary(&self, local_ready: bool, now: Instant) -> Vec<(VmName, bool)> {
+        let mut summary: Vec<(VmName, bool)> = self
             .peers
             .values()
-            .filter(|peer| peer.member.region == self.me.region && peer.is_running(now))
+            .filter(|peer| peer.member.region == self.local.region && peer.is_running(now))
             .map(|peer| (peer.member.vm.clone(), peer.is_ready(now)))
             .collect();
-        state.push((self.me.vm.clone(), me_ready));
-        state
+        summary.push((self.local.vm.clone(), local_ready));
+        summary
     }
 
-    /// This VM as the store lists it.
-    pub fn me(&self) -> &Member {
-        &self.me
+    /// The entry of this VM.
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
-    /// Names of the VMs that run, this one included, in the order of their
-    /// names.
+    /// Names of the running VMs, including this one, in sorted order.
     pub fn running(&self, now: Instant) -> Vec<VmName> {
         let running = self.peers.values().filter(|peer| peer.is_running(now));
         let mut names: Vec<VmName> = running.map(|peer| peer.member.vm.clone()).collect();
-        names.push(self.me.vm.clone());
+        names.push(self.local.vm.clone());
         names.sort();
         names
     }
 
-    /// Where callers of a region should connect: VMs that are ready there, or
-    /// else anywhere. This VM is named by `me_ready`. The list is empty only
-    /// when no VM takes callers.
+    /// Addresses to which callers of a region should connect, at most
+    /// [`MAX_LOOKUP_VMS`]: the ready VMs of the region, or if it has none, of all
+    /// regions. This VM is one of them when `local_ready` is true.
+    ///
+    /// If no VM is ready, all running ones are returned, and if there are none,
+    /// this VM, so that the list is never empty.
     pub fn lookup_addresses(
         &self,
         region: Option<&RegionName>,
-        me_ready: bool,
+        local_ready: bool,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        let ready = self.takers(me_ready, now, Peer::is_ready);
-        let near = |member: &&&Member| region.is_none_or(|region| member.region == *region);
-        let mut named: Vec<&Member> = ready.iter().filter(near).copied().collect();
-        if named.is_empty() {
-            named = ready;
+        let ready = self.select(local_ready, now, Peer::is_ready);
+        let in_region = |member: &&&Member| region.is_none_or(|region| member.region == *region);
+        let mut selected: Vec<&Member> = ready.iter().filter(in_region).copied().collect();
+        if selected.is_empty() {
+            selected = ready;
         }
-        if named.is_empty() {
-            // VMs that cannot serve keys may serve public routes.
-            named = self.takers(me_ready, now, Peer::is_running);
+        if selected.is_empty() {
+            // VMs that are not ready because they cannot check keys may still serve
+            // public routes.
+            selected = self.select(local_ready, now, Peer::is_running);
         }
-        if named.is_empty() {
-            named.push(&self.me);
+        if selected.is_empty() {
+            selected.push(&self.local);
         }
-        named.sort_by(|a, b| a.vm.cmp(&b.vm));
-        named.truncate(MOST_NAMED);
-        named.iter().map(|member| member.caller_address).collect()
+        selected.sort_by(|a, b| a.vm.cmp(&b.vm));
+        selected.truncate(MAX_LOOKUP_VMS);
+        selected
+            .iter()
+            .map(|member| member.caller_address)
+            .collect()
     }
 
-    fn takers(&self, me: bool, now: Instant, takes: fn(&Peer, Instant) -> bool) -> Vec<&Member> {
-        let peers = self.peers.values().filter(|peer| takes(peer, now));
+    /// The other VMs for which `accepts` returns true, and this one if
+    /// `include_local` is true.
+    fn select(
+        &self,
+        include_local: bool,
+        now: Instant,
+        accepts: fn(&Peer, Instant) -> bool,
+    ) -> Vec<&Member> {
+        let peers = self.peers.values().filter(|peer| accepts(peer, now));
         let mut members: Vec<&Member> = peers.map(|peer| &peer.member).collect();
-        if me {
-            members.push(&self.me);
+        if include_local {
+            members.push(&self.local);
         }
         members
     }
 }
 
 impl Peer {
-    fn silence(&self, now: Instant) -> Duration {
-        let last = self.heard.map_or(self.listed_at, |(at, _)| at);
+    /// Time since the last heartbeat, or since it was listed if none was
+    /// received.
+    fn heartbeat_age(&self, now: Instant) -> Duration {
+        let last = self.last_heartbeat.map_or(self.listed_at, |(at, _)| at);
         now.saturating_duration_since(last)
     }
 
     fn is_leaving(&self) -> bool {
-        self.heard.is_some_and(|(_, heartbeat)| heartbeat.leaving)
+        self.last_heartbeat
+            .is_some_and(|(_, heartbeat)| heartbeat.leaving)
     }
 
     fn is_running(&self, now: Instant) -> bool {
-        !self.is_leaving() && self.silence(now) <= HEARTBEAT_TIMEOUT
+        !self.is_leaving() && self.heartbeat_age(now) <= HEARTBEAT_TIMEOUT
     }
 
     fn is_ready(&self, now: Instant) -> bool {
-        self.is_running(now) && self.heard.is_none_or(|(_, heartbeat)| heartbeat.ready)
+        self.is_running(now)
+            && self
+                .last_heartbeat
+                .is_none_or(|(_, heartbeat)| heartbeat.ready)
     }
 }
--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -1,24 +1,24 @@
-//! Where one VM sends a request, and when it refuses it.
+//! Decides on one VM to which endpoint a request is sent, and when it is refused.
 //!
-//! All decisions here are plain functions of state and `now`. VMs reach the
-//! same placement without a message, because they rank endpoints by the same
-//! hash; what a VM knows beyond that comes from its own requests.
+//! All decisions are functions of state and the time `now`, without clocks and
+//! sockets. VMs place requests alike without exchanging messages, because they
+//! rank endpoints by the same hash.
 //!
-//! - [`deployment`] is the configuration that operators have put in force.
-//! - [`endpoint`] and [`registry`] hold the endpoints that exist.
+//! - [`deployment`] is the configuration in force.
+//! - [`endpoint`] and [`registry`] hold the registered endpoints.
 //! - [`placement`] ranks the endpoints of a service for an object. It answers
 //!   the steady load, in which an endpoint that handled an object recently is
 //!   several times as fast.
 //! - [`affinity`] spreads objects evenly over the endpoints that rank highest.
 //! - [`balancer`] picks an endpoint from the ranking, or refuses. It answers
 //!   overload, slow and failing endpoints.
-//! - [`quota`] keeps a team within its rate over all VMs, and answers one team
-//!   that sends several times its rate.
+//! - [`quota`] keeps each team within its rate over all VMs. It is designed for
+//!   one team that sends several times its rate.
 //! - [`retry`] bounds what repeats add to a service that is already failing.
 //! - [`cold_start`] bounds what an endpoint gets that has just started.
 //! - [`store_health`] tells how current the copy of the store is.
-//! - [`settings`] is what the platform tells a VM at its start.
-//! - [`members`] tells which VMs callers should be sent to.
+//! - [`settings`] holds the settings that a VM gets from the platform.
+//! - [`members`] tracks which VMs run, and to which of them callers connect.
 
 pub mod affinity;
 pub mod balancer;
--- a/crates/filbertgrade-coord/src/steering/settings.rs
+++ b/crates/filbertgrade-coord/src/steering/settings.rs
@@ -1,4 +1,4 @@
-//! What a VM is told by the platform that runs it.
+//! The settings that a VM gets from the platform that runs it.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -9,56 +9,56 @@
 /// Settings of one VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Name of the VM.
+    /// Name of the VM, unique in the fleet.
     pub vm: VmName,
-    /// Its IP address; also the source address of its connections.
+    /// IP address of the VM; also the source address of its outgoing connections.
     pub address: IpAddr,
-    /// Its region.
+    /// Region in which the VM runs.
     pub region: RegionName,
-    /// Its failure domain.
+    /// Failure domain in which the VM runs.
     pub failure_domain: FailureDomainName,
-    /// Regions of all failure domains.
+    /// Region of each failure domain of the fleet.
     pub regions: HashMap<FailureDomainName, RegionName>,
-    /// Where it listens.
+    /// Addresses on which the VM listens.
     pub listen: Listen,
     /// Address of the store.
     pub store: SocketAddr,
-    /// Memory that the process may use.
+    /// Memory that the process may use; `None` when the platform sets no limit.
     pub memory_bytes: Option<u64>,
-    /// Times and limits that the users ask for.
+    /// Time bounds and limits that the users require.
     pub bounds: Bounds,
 }
 
 /// Addresses on which a VM listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listen {
-    /// Callers' requests.
+    /// For callers' requests.
     pub callers: SocketAddr,
-    /// Callers' look-ups.
+    /// For callers' look-ups.
     pub lookups: SocketAddr,
-    /// The platform's questions whether the VM takes callers.
+    /// For the platform's readiness checks: whether the VM can serve callers.
     pub ready: SocketAddr,
-    /// Datagrams of other VMs.
+    /// For datagrams and calls of other VMs.
     pub peers: SocketAddr,
 }
 
-/// Times and limits that the users ask for.
+/// Time bounds and limits that the users require.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time from a request to stop until the process is ended.
+    /// Time from the signal to stop until the platform kills the process.
     pub stop_grace: Duration,
-    /// Time after which a withdrawn key must not work.
+    /// Time after its withdrawal from which an API key must be refused.
     pub key_withdrawal: Duration,
-    /// Repeats for each request to a service, over all VMs.
+    /// Allowed retries per request to a service, over all VMs.
     pub retry_ratio: f64,
-    /// Window of the repeats.
+    /// Window in which retries are counted.
     pub retry_window: Duration,
-    /// Repeats beyond the ratio in a window.
+    /// Allowed number of retries beyond the ratio in a window.
     pub retry_allowance: f64,
-    /// Requests of a team beyond its rate and burst that are borne in a window.
+    /// Allowed excess: requests of a team beyond its rate and burst in a window.
     pub rate_allowance: f64,
-    /// Part of a region's requests that may change their region within 2 s.
+    /// Fraction of a region's requests that may move to another region within 2 s.
     pub shift_cap: f64,
-    /// Longest time that callers keep the answer to a look-up.
+    /// Longest time for which callers cache the response to a look-up.
     pub lookup_ttl: Duration,
 }
