--- a/crates/filbertgrade-coord/src/steering/affinity.rs
+++ b/crates/filbertgrade-coord/src/steering/affinity.rs
@@ -1,98 +1,109 @@
-//! Which endpoint handles each object.
+//! Object affinity: which endpoint serves the requests for each object.
 //!
-//! Answers few objects on few endpoints: by hash alone, one endpoint gets
-//! several times the objects of another, and its requests wait while slots
-//! elsewhere are free. The first VM that meets an object picks the endpoint
-//! with the fewest objects among those that rank highest, and tells the other
-//! VMs. A VM that was not told picks nearly the same by the same rule.
+//! Designed for few objects on few endpoints. With hashing alone, one endpoint
+//! gets several times the objects of another, and its requests wait while slots
+//! elsewhere are free. The first VM that receives a request for an object
+//! therefore picks the endpoint with the fewest objects among those that rank
+//! highest, and sends this affinity to the other VMs. A VM that has not
+//! received it picks nearly the same endpoint by the same rule.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use indexmap::IndexMap;
 
-/// Objects that are held at most, to bound memory and what a new VM is sent.
-const MOST_OBJECTS: usize = 8_192;
+/// Maximum number of objects in the table. Bounds memory and the size of the
+/// snapshot that a new VM receives.
+const MAX_OBJECTS: usize = 8_192;
 
-/// How often the other VMs are told of one home, because datagrams are lost.
-const TELLINGS: u8 = 2;
+/// How many times each update is sent to the other VMs, because datagrams are
+/// lost.
+const SENDS_PER_UPDATE: u8 = 2;
 
-/// Time after which an object that was met only once counts no more.
-const TRIAL_TIME: Duration = Duration::from_secs(3);
+/// Time after which an affinity expires if its object was requested only once.
+const UNCONFIRMED_TTL: Duration = Duration::from_secs(3);
 
-/// Time after which an object that nobody asks for counts no more.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+/// Time after the last request at which a confirmed affinity expires.
+const CONFIRMED_TTL: Duration = Duration::from_secs(30);
 
-/// The endpoints of objects, by hashes of both.
+/// The affinities that this VM knows, and the updates that it still has to send
+/// to other VMs. Objects and endpoints are identified by their hashes.
 #[derive(Debug, Default)]
 pub struct AffinityTable {
-    homes: IndexMap<u64, Entry>,
-    /// Objects that count for each endpoint, as of the last count.
-    counts: HashMap<u64, u32>,
-    counted_at: Option<Instant>,
-    /// AffinityTable that other VMs are to be told of.
-    news: IndexMap<u64, u8>,
+    entries: IndexMap<u64, Entry>,
+    /// Number of unexpired objects for each endpoint. Expired objects are
+    /// subtracted only by the periodic recount.
+    object_counts: HashMap<u64, u32>,
+    recounted_at: Option<Instant>,
+    /// Objects whose affinity is to be sent to other VMs, with the number of
+    /// sends that remain.
+    pending: IndexMap<u64, u8>,
 }
 
-/// Where an object is handled.
+/// The endpoint that serves an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Affinity {
     /// Hash of the object.
     pub object: u64,
     /// Hash of the endpoint.
     pub endpoint: u64,
-    /// Grows with each change of the object's home. Of two homes with the same
-    /// number, the one with the higher endpoint hash counts.
+    /// Incremented each time the object moves to another endpoint. Between two
+    /// affinities with the same version, the higher endpoint hash wins.
     pub version: u64,
-    /// The object was asked for more than once.
+    /// The object was requested more than once.
     pub confirmed: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    home: Affinity,
-    met_at: Instant,
+    affinity: Affinity,
+    updated_at: Instant,
 }
 
 impl Entry {
-    fn counts(&self, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.met_at);
-        age <= if self.home.confirmed {
-            IDLE_TIME
+    fn is_current(&self, now: Instant) -> bool {
+        let age = now.saturating_duration_since(self.updated_at);
+        age <= if self.affinity.confirmed {
+            CONFIRMED_TTL
         } else {
-            TRIAL_TIME
+            UNCONFIRMED_TTL
         }
     }
 }
 
-/// How often objects are counted anew.
-const COUNT_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the objects of each endpoint are counted again.
+const RECOUNT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl AffinityTable {
-    /// The endpoint of an object.
+    /// Returns the hash of the endpoint that serves an object, even if the
+    /// affinity has expired but has not been removed yet.
     pub fn get(&self, object: u64) -> Option<u64> {
-        self.homes.get(&object).map(|entry| entry.home.endpoint)
+        self.entries
+            .get(&object)
+            .map(|entry| entry.affinity.endpoint)
     }
 
-    /// Objects that an endpoint handles.
+    /// Returns how many objects an endpoint serves. The number may include
+    /// objects that expired since the last recount.
     pub fn object_count(&self, endpoint: u64) -> u32 {
-        self.counts.get(&endpoint).copied().unwrap_or(0)
+        self.object_counts.get(&endpoint).copied().unwrap_or(0)
     }
 
-    /// Notes that a request for an object goes to an endpoint. A new home is
-    /// told to other VMs.
+    /// Records that a request for an object is sent to an endpoint. If this
+    /// changes the affinity, the change becomes a pending update for the other
+    /// VMs.
     pub fn record_use(&mut self, object: u64, endpoint: u64, now: Instant) {
-        self.recount(now);
-        let before = self.homes.get(&object).map(|entry| entry.home);
-        let home = match before {
-            Some(home) if home.endpoint == endpoint => Affinity {
+        self.recount_if_due(now);
+        let before = self.entries.get(&object).map(|entry| entry.affinity);
+        let affinity = match before {
+            Some(affinity) if affinity.endpoint == endpoint => Affinity {
                 confirmed: true,
-                ..home
+                ..affinity
             },
-            Some(home) => Affinity {
+            Some(affinity) => Affinity {
                 endpoint,
-                version: home.version + 1,
-                ..home
+                version: affinity.version + 1,
+                ..affinity
             },
             None => Affinity {
                 object,
@@ -101,82 +112,94 @@
                 confirmed: false,
             },
         };
-        self.put(home, now);
-        if before != Some(home) {
-            self.news.insert(object, TELLINGS);
+        self.insert(affinity, now);
+        if before != Some(affinity) {
+            self.pending.insert(object, SENDS_PER_UPDATE);
         }
     }
 
-    /// Takes a home that another VM told.
-    pub fn apply_update(&mut self, home: Affinity, now: Instant) {
-        let newer = self.homes.get(&home.object).is_none_or(|entry| {
-            let known = entry.home;
-            let order = |home: Affinity| (home.version, home.endpoint, home.confirmed);
-            order(home) > order(known)
+    /// Applies an affinity received from another VM, unless the known one is
+    /// the same or newer.
+    pub fn apply_update(&mut self, affinity: Affinity, now: Instant) {
+        let newer = self.entries.get(&affinity.object).is_none_or(|entry| {
+            let known = entry.affinity;
+            let order =
+                |affinity: Affinity| (affinity.version, affinity.endpoint, affinity.confirmed);
+            order(affinity) > order(known)
         });
         if newer {
-            self.put(home, now);
+            self.insert(affinity, now);
         }
     }
 
-    /// AffinityTable that other VMs are to be told of now, at most `most`.
-    pub fn take_pending_updates(&mut self, most: usize) -> Vec<Affinity> {
-        let count = self.news.len().min(most);
-        let batch: Vec<(u64, u8)> = self.news.drain(..count).collect();
-        let homes = batch
+    /// Takes at most `limit` of the updates to send to other VMs. Each update is
+    /// returned by several calls, because datagrams are lost.
+    pub fn take_pending_updates(&mut self, limit: usize) -> Vec<Affinity> {
+        let count = self.pending.len().min(limit);
+        let batch: Vec<(u64, u8)> = self.pending.drain(..count).collect();
+        let affinities = batch
             .iter()
-            .filter_map(|(object, _)| self.homes.get(object))
-            .map(|entry| entry.home)
+            .filter_map(|(object, _)| self.entries.get(object))
+            .map(|entry| entry.affinity)
             .collect();
-        let again = batch.into_iter().filter(|(_, left)| *left > 1);
-        self.news
-            .extend(again.map(|(object, left)| (object, left - 1)));
-        homes
+        let resend = batch.into_iter().filter(|(_, sends_left)| *sends_left > 1);
+        self.pending
+            .extend(resend.map(|(object, sends_left)| (object, sends_left - 1)));
+        affinities
     }
 
-    /// There is something to tell.
+    /// Reports whether there are updates to send to other VMs.
     pub fn has_pending_updates(&self) -> bool {
-        !self.news.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// All homes that count, for a VM that knows none.
+    /// Returns all confirmed affinities that have not expired, for a VM that has
+    /// just started.
     pub fn snapshot(&self, now: Instant) -> Vec<Affinity> {
-        self.homes
+        self.entries
             .values()
-            .filter(|entry| entry.home.confirmed && entry.counts(now))
-            .map(|entry| entry.home)
+            .filter(|entry| entry.affinity.confirmed && entry.is_current(now))
+            .map(|entry| entry.affinity)
             .collect()
     }
 
-    fn put(&mut self, home: Affinity, now: Instant) {
-        let entry = Entry { home, met_at: now };
-        let old = self.homes.insert(home.object, entry);
-        let moved = old.is_none_or(|old| old.home.endpoint != home.endpoint);
+    fn insert(&mut self, affinity: Affinity, now: Instant) {
+        let entry = Entry {
+            affinity,
+            updated_at: now,
+        };
+        let old = self.entries.insert(affinity.object, entry);
+        let moved = old.is_none_or(|old| old.affinity.endpoint != affinity.endpoint);
         if moved {
-            if let Some(count) = old.and_then(|old| self.counts.get_mut(&old.home.endpoint)) {
+            if let Some(count) =
+                old.and_then(|old| self.object_counts.get_mut(&old.affinity.endpoint))
+            {
                 *count = count.saturating_sub(1);
             }
-            *self.counts.entry(home.endpoint).or_default() += 1;
+            *self.object_counts.entry(affinity.endpoint).or_default() += 1;
         }
-        if self.homes.len() > MOST_OBJECTS {
-            self.homes.retain(|_, entry| entry.counts(now));
+        if self.entries.len() > MAX_OBJECTS {
+            self.entries.retain(|_, entry| entry.is_current(now));
         }
-        if self.homes.len() > MOST_OBJECTS {
-            self.homes.shift_remove_index(0);
+        if self.entries.len() > MAX_OBJECTS {
+            self.entries.shift_remove_index(0);
         }
     }
 
-    fn recount(&mut self, now: Instant) {
+    fn recount_if_due(&mut self, now: Instant) {
         let due = self
-            .counted_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= COUNT_INTERVAL);
+            .recounted_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= RECOUNT_INTERVAL);
         if !due {
             return;
         }
-        self.counted_at = Some(now);
-        self.counts.clear();
-        for entry in self.homes.values().filter(|entry| entry.counts(now)) {
-            *self.counts.entry(entry.home.endpoint).or_default() += 1;
+        self.recounted_at = Some(now);
+        self.object_counts.clear();
+        for entry in self.entries.values().filter(|entry| entry.is_current(now)) {
+            *self
+                .object_counts
+                .entry(entry.affinity.endpoint)
+                .or_default() += 1;
         }
     }
 }
--- a/crates/filbertgrade-coord/src/steering/cold_start.rs
+++ b/crates/filbertgrade-coord/src/steering/cold_start.rs
@@ -1,7 +1,8 @@
-//! How many requests an endpoint gets that has just started.
+//! Rate limit for requests to an endpoint that has just started.
 //!
-//! Answers the load after a region's endpoints come back together: all VMs
-//! would send them their full share, which ends endpoints with cold caches.
+//! Designed for the load after all endpoints of a region restart together: if
+//! every VM sent them a full share of the requests, endpoints with cold caches
+//! would be overloaded and fail again.
 
 use std::time::Instant;
 
@@ -9,23 +10,24 @@
 use crate::names::VmName;
 use crate::rendezvous;
 
-/// VMs that may send to one cold endpoint. Two keep it in use when one of them
-/// fails; more would have to share a rate of a few requests a second.
-const COLD_SENDERS: usize = 2;
+/// Number of VMs that may send to the same cold endpoint. Two keep it in use
+/// when one of them fails; more would have to share a rate of a few requests a
+/// second.
+const SENDERS_PER_ENDPOINT: usize = 2;
 
-/// Divides the rate of a cold endpoint over the VMs that may send to it.
+/// One VM's share of the request rate of a cold endpoint.
 ///
-/// The VMs are picked by rendezvous hashing, so that VMs with the same list
-/// agree. Each of them spaces its requests evenly, so that a burst of all of
-/// them together is one request each.
+/// The VMs that may send are selected by rendezvous hashing, so that VMs with
+/// the same member list agree on them. Each of them spaces its requests evenly:
+/// the largest burst of all of them together is one request each.
 #[derive(Clone, Debug)]
 pub struct ColdStartLimit {
     bucket: TokenBucket,
 }
 
 impl ColdStartLimit {
-    /// Starts with one token at an endpoint that takes `rate` requests a
-    /// second from all VMs together.
+    /// Creates the limit of one of `senders` VMs for an endpoint that accepts
+    /// `rate` requests a second from all VMs together. It starts with one token.
     pub fn new(rate: f64, senders: usize, now: Instant) -> Self {
         let rate = if rate.is_finite() { rate.max(0.0) } else { 0.0 };
         let part = Part::new(rate / senders.max(1) as f64, 1.0).unwrap_or(Part::ZERO);
@@ -34,21 +36,21 @@
         Self { bucket }
     }
 
-    /// Takes the next request, if the rate allows one now.
+    /// Takes a token for one request, and returns false if there is none.
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.bucket.try_take(now)
     }
 
-    /// The rate allows a request now.
+    /// Reports whether a request is allowed now, without taking a token.
     pub fn has_token(&mut self, now: Instant) -> bool {
         self.bucket.refill(now);
         self.bucket.tokens() >= 1.0
     }
 }
 
-/// The number of VMs that may send to the cold endpoint `id`, if `vm` is one
-/// of them.
+/// Returns the number of VMs that may send to the cold endpoint `id`, or `None`
+/// if `vm` is not one of them.
 pub fn cold_start_senders(id: &str, vm: &VmName, vms: &[VmName]) -> Option<usize> {
-    let senders = rendezvous::top(id, vms.iter(), COLD_SENDERS);
+    let senders = rendezvous::top(id, vms.iter(), SENDERS_PER_ENDPOINT);
     senders.contains(&vm).then_some(senders.len())
 }
--- a/crates/filbertgrade-coord/src/steering/endpoint.rs
+++ b/crates/filbertgrade-coord/src/steering/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of a service, as it registered itself.
+//! An endpoint of a service, as described by its registration.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,32 +7,34 @@
 
 use crate::names::{FailureDomainName, ServiceName};
 
-/// An endpoint as its registration describes it.
+/// The registration of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which start of which endpoint this is.
+    /// Identifies the endpoint and the current start of its process.
     pub key: EndpointKey,
-    /// The service that it belongs to.
+    /// Service whose requests it handles.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Failure domain in which it runs.
     pub failure_domain: FailureDomainName,
-    /// Requests that it runs at the same time; at least 1.
+    /// Number of requests that it runs concurrently; at least 1.
     pub slots: u32,
-    /// It is about to leave and takes no new work.
+    /// It is about to stop and must not receive new requests.
     pub draining: bool,
-    /// How long it stays cold, as of when the registration was read.
+    /// How much longer its caches count as cold, measured from when the
+    /// registration was read.
     pub cold_for: Duration,
 }
 
-/// One start of one endpoint. An endpoint that starts again may keep its id,
-/// but it has lost all that it knew.
+/// Identifies one start of an endpoint's process. A restarted endpoint may keep
+/// its id, but its caches are empty.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointKey {
     /// Id under which the endpoint registered.
     pub id: Arc<str>,
-    /// Unix time of its start in milliseconds, if it tells it.
+    /// Unix time of the start in milliseconds; `None` if the endpoint did not
+    /// report it.
     pub started_ms: Option<u64>,
 }
 
--- a/crates/filbertgrade-coord/src/steering/placement.rs
+++ b/crates/filbertgrade-coord/src/steering/placement.rs
@@ -1,9 +1,9 @@
-//! The region of an object, and the order of the endpoints for it.
+//! Selects the region for an object and ranks the endpoints for it.
 //!
-//! Answers the steady load. An endpoint that handled an object recently is
-//! several times as fast, so all VMs must rank in the same order. A region is
-//! picked by hash and not by load, because requests that change their region
-//! together meet cold caches.
+//! Designed for the steady load. An endpoint that handled an object recently is
+//! several times as fast, so all VMs must rank the endpoints in the same order.
+//! The region is selected by hash and not by load, because requests that change
+//! their region at the same time find cold caches there.
 
 use std::collections::HashMap;
 
@@ -11,83 +11,90 @@
 
 use crate::names::RegionName;
 
-/// A number in `0..1` that is spread evenly if the bits of `hash` are.
+/// Maps a hash to a number in `0..1`, uniformly if the bits of `hash` are
+/// uniform.
 pub fn unit_interval(hash: u64) -> f64 {
     // The upper 53 bits are what an f64 represents exactly.
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Hash of an object that requests of a service concern.
+/// Returns the hash of an object that requests to a service refer to.
 pub fn object_hash(service: &str, object: &[u8]) -> u64 {
     xxh3_64_with_seed(object, xxh3_64(service.as_bytes()))
 }
 
-/// Hash of an endpoint, which [`score`] takes.
+/// Returns the hash of an endpoint, as [`score`] expects it.
 pub fn endpoint_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// Rendezvous score of an endpoint for an object; the highest comes first.
+/// Returns the rendezvous score of an endpoint for an object, from the hashes of
+/// both. The endpoint with the highest score ranks first.
 pub fn score(object: u64, endpoint: u64) -> u64 {
     xxh3_64_with_seed(&endpoint.to_le_bytes(), object)
 }
 
-/// Which region the objects of a service are placed in, for each region that
-/// callers come from.
+/// How the objects of a service are divided among regions, for each region that
+/// callers send from.
 ///
-/// A region keeps what its part of the capacity covers. The rest goes to
-/// regions with more capacity than callers, in proportion to the excess, so
-/// that all endpoints carry the same load.
+/// A region keeps the fraction of its demand that its own capacity covers. The
+/// rest goes to regions with more capacity than demand, in proportion to the
+/// excess, so that all endpoints have the same load.
 #[derive(Clone, Debug, Default)]
 pub struct RegionSplit {
-    /// By region of the caller: regions with the upper end of their range in
-    /// `0..1`.
+    /// For each caller's region, the regions that its objects are placed in,
+    /// with the upper end of their range in `0..1`. The caller's region is the
+    /// first.
     rows: HashMap<RegionName, Vec<(RegionName, f64)>>,
 }
 
 impl RegionSplit {
-    /// Divides by `capacity` and `demand`, both in any unit.
+    /// Computes the division from the capacity and the demand of each region.
+    /// Each may be in any unit, since only the proportions matter.
     pub fn new(capacity: &[(RegionName, f64)], demand: &[(RegionName, f64)]) -> Self {
         let total_capacity: f64 = capacity.iter().map(|(_, n)| n).sum();
         let total_demand: f64 = demand.iter().map(|(_, n)| n).sum();
         if total_capacity <= 0.0 || total_demand <= 0.0 {
             return Self::default();
         }
-        let part = |list: &[(RegionName, f64)], region: &RegionName, total: f64| {
+        let fraction = |list: &[(RegionName, f64)], region: &RegionName, total: f64| {
             let found = list.iter().find(|(name, _)| name == region);
             found.map_or(0.0, |(_, n)| n / total)
         };
         let excess: Vec<(RegionName, f64)> = capacity
             .iter()
             .map(|(region, n)| {
-                let asked = part(demand, region, total_demand);
-                (region.clone(), (n / total_capacity - asked).max(0.0))
+                let demanded = fraction(demand, region, total_demand);
+                (region.clone(), (n / total_capacity - demanded).max(0.0))
             })
             .collect();
         let rows = demand
             .iter()
             .map(|(region, n)| {
-                let has = part(capacity, region, total_capacity);
-                let stay = (has * total_demand / n.max(f64::MIN_POSITIVE)).min(1.0);
-                (region.clone(), row(region, stay, &excess))
+                let available = fraction(capacity, region, total_capacity);
+                let kept = (available * total_demand / n.max(f64::MIN_POSITIVE)).min(1.0);
+                (region.clone(), row(region, kept, &excess))
             })
             .collect();
         Self { rows }
     }
 
-    /// The region for an object that callers of `from` ask for. More objects
-    /// than the region's even part stay there when `kept` is above one, which
-    /// counts in multiples of that part.
-    pub fn region(&self, from: &RegionName, object: u64, kept: f64) -> Option<&RegionName> {
+    /// Returns the region for an object that callers in the region `from`
+    /// request, or `None` if `from` is unknown. `local_bias` is a multiple of
+    /// the fraction of objects that normally stays in `from`: above one, more
+    /// objects stay there.
+    pub fn region(&self, from: &RegionName, object: u64, local_bias: f64) -> Option<&RegionName> {
         let row = self.rows.get(from)?;
-        let (home, even) = row.first()?;
-        // Another hash than the one that ranks endpoints.
+        let (local, normal) = row.first()?;
+        // The object is hashed again, so that the region does not depend on the
+        // same hash as the ranking of endpoints.
         let point = unit_interval(xxh3_64(&object.to_le_bytes()));
-        let stay = (even * kept).min(1.0);
-        if point < stay {
-            return Some(home);
+        let kept = (normal * local_bias).min(1.0);
+        if point < kept {
+            return Some(local);
         }
-        let point = even + (point - stay) / (1.0 - stay) * (1.0 - even);
+        // Maps the rest of the interval onto the ranges of the other regions.
+        let point = normal + (point - kept) / (1.0 - kept) * (1.0 - normal);
         row.iter()
             .skip(1)
             .find(|(_, end)| point < *end)
@@ -96,20 +103,22 @@
     }
 }
 
-fn row(home: &RegionName, stay: f64, excess: &[(RegionName, f64)]) -> Vec<(RegionName, f64)> {
+/// Returns the ranges of the regions for callers in `local`, which keeps the
+/// fraction `kept` of their objects.
+fn row(local: &RegionName, kept: f64, excess: &[(RegionName, f64)]) -> Vec<(RegionName, f64)> {
     let others: f64 = excess
         .iter()
-        .filter(|(region, _)| region != home)
+        .filter(|(region, _)| region != local)
         .map(|(_, n)| n)
         .sum();
     if others <= 0.0 {
-        return vec![(home.clone(), 1.0)];
+        return vec![(local.clone(), 1.0)];
     }
-    let mut end = stay;
-    let mut row = vec![(home.clone(), end)];
+    let mut end = kept;
+    let mut row = vec![(local.clone(), end)];
     for (region, n) in excess {
-        if region != home && *n > 0.0 {
-            end += (1.0 - stay) * n / others;
+        if region != local && *n > 0.0 {
+            end += (1.0 - kept) * n / others;
             row.push((region.clone(), end));
         }
     }
--- a/crates/filbertgrade-coord/src/steering/retry.rs
+++ b/crates/filbertgrade-coord/src/steering/retry.rs
@@ -1,42 +1,45 @@
-//! A limit on how often requests are sent more than once.
+//! Limits on sending a request more than once.
 //!
-//! Answers the load in which many endpoints fail at once: without a limit,
-//! every VM would send each request several times and keep the service down.
+//! Designed for the load in which many endpoints fail at once: without a limit,
+//! every VM would send each request several times, and these retries would keep
+//! the service overloaded.
 
 use std::time::{Duration, Instant};
 
 use super::window::Window;
 
-/// Limits of the repeats to one service, over all VMs.
+/// Limits on the retries to one service, from all VMs together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryConfig {
-    /// Repeats for each request in the window.
+    /// Retries allowed for each request in the window.
     pub ratio: f64,
-    /// Repeats beyond that in the window, for services with few requests.
+    /// Retries allowed in the window in addition, for services that receive few
+    /// requests.
     pub allowance: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// The part of one VM in the repeats to one service.
+/// One VM's share of the retries to one service.
 ///
-/// In every window it grants at most `ratio` times its own requests and its
-/// part of the allowance, so that the sum over all VMs keeps the whole limit
-/// without a message between them.
+/// In every window it grants at most `ratio` times the VM's own requests plus
+/// the VM's share of the allowance. The sum over all VMs thus stays within the
+/// limit without communication between them.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetryConfig,
     requests: Window,
-    repeats: Window,
+    retries: Window,
 }
 
 impl RetryBudget {
-    /// Starts with no request counted.
+    /// Creates a budget with empty windows, which grants only retries from the
+    /// allowance.
     pub fn new(cfg: RetryConfig) -> Self {
         Self {
             cfg,
             requests: Window::new(cfg.window),
-            repeats: Window::new(cfg.window),
+            retries: Window::new(cfg.window),
         }
     }
 
@@ -45,26 +48,28 @@
         self.requests.add(now, 1.0);
     }
 
-    /// Takes one repeat, if there is one left for a fleet of `vms`.
+    /// Takes one retry from the budget of one among `vms` VMs, and returns false
+    /// if none is left.
     pub fn try_take(&mut self, now: Instant, vms: usize) -> bool {
-        let fixed = self.cfg.allowance / vms.max(1) as f64;
-        let limit = self.cfg.ratio * self.requests.total(now) + fixed;
-        if self.repeats.total(now) + 1.0 > limit {
+        let allowance = self.cfg.allowance / vms.max(1) as f64;
+        let limit = self.cfg.ratio * self.requests.total(now) + allowance;
+        if self.retries.total(now) + 1.0 > limit {
             return false;
         }
-        self.repeats.add(now, 1.0);
+        self.retries.add(now, 1.0);
         true
     }
 }
 
-/// Shortest time before a second attempt beside the first, so that common
-/// variation does not cause one.
-const SECOND_AFTER_LEAST: Duration = Duration::from_millis(150);
+/// Minimum margin between the expected latency and the hedged attempt, so that
+/// common latency variation does not cause one.
+const MIN_HEDGE_MARGIN: Duration = Duration::from_millis(150);
 
-/// How long after the first attempt a second one may be sent beside it, to
-/// another endpoint. Answers lost answers and endpoints that turned slow.
+/// Returns how long after the first attempt a hedged one may be sent to another
+/// endpoint while the first is still running. Hedging covers lost responses and
+/// endpoints that have become slow.
 pub fn hedge_delay(expected: Duration, target_latency: Duration) -> Duration {
     (expected * 2)
-        .max(expected + SECOND_AFTER_LEAST)
+        .max(expected + MIN_HEDGE_MARGIN)
         .max(target_latency / 2)
 }
--- a/crates/filbertgrade-coord/src/steering/store_health.rs
+++ b/crates/filbertgrade-coord/src/steering/store_health.rs
@@ -1,123 +1,131 @@
-//! How current the copy of the store is.
+//! Age of the local copy of the store, and outages of the store.
 
 use std::time::{Duration, Instant};
 
-/// When the store last confirmed that the copy of the configuration is the
-/// newest, and whether the store can be reached.
+/// Records when the store last confirmed that the local copy of the
+/// configuration is the newest, and whether the store can be reached.
 ///
-/// Keys that were withdrawn after the confirmation are not known, so a request
-/// with a key is refused when the confirmation is too old.
+/// The copy does not show keys that were withdrawn after the confirmation, so a
+/// request with a key is refused when the confirmation is too old.
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
-    /// The store had no newer configuration at this instant; never moves
-    /// backward.
+    /// Latest instant at which the store had no newer configuration; never
+    /// moves backward.
     confirmed_at: Option<Instant>,
-    /// First of the failed calls since the last answer.
+    /// Start of the first call that failed since the last successful one.
     failing_since: Option<Instant>,
-    /// When the store answered last.
-    answered_at: Option<Instant>,
-    /// When the store answered again after an outage, and when that began.
-    back: Option<Outage>,
+    /// Time of the last successful call.
+    last_success_at: Option<Instant>,
+    /// The last outage that has ended.
+    last_outage: Option<Outage>,
 }
 
 /// An outage of the store that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// When the first call failed.
+    /// Start of the first call that failed.
     pub started_at: Instant,
-    /// When a call was answered again.
+    /// Time of the first successful call after it.
     pub ended_at: Instant,
 }
 
-/// Failing calls for longer than this count as an outage of the store. A
-/// single lost answer is shorter.
-const OUTAGE_AFTER: Duration = Duration::from_millis(400);
+/// Shortest time of failing calls that is recorded as an outage of the store. A
+/// single lost response causes a shorter one.
+const MIN_OUTAGE: Duration = Duration::from_millis(400);
 
 impl StoreHealth {
-    /// The store answered that the copy was current at `at`.
+    /// Records that the store confirmed the copy as current at `at`. Earlier
+    /// instants than the known one are ignored.
     pub fn confirm(&mut self, at: Instant) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Forgets the confirmation, because nobody knows how old it is.
+    /// Discards the confirmation, for use when its age is no longer known.
     pub fn clear_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// A call was answered. Returns the length of the outage that it ended.
+    /// Records a successful call. Returns the length of the outage that it
+    /// ended, if there was one.
     pub fn record_success(&mut self, now: Instant) -> Option<Duration> {
-        self.answered_at = Some(now);
+        self.last_success_at = Some(now);
         let started_at = self.failing_since.take()?;
         let outage = now.saturating_duration_since(started_at);
-        if outage < OUTAGE_AFTER {
+        if outage < MIN_OUTAGE {
             return None;
         }
-        self.back = Some(Outage {
+        self.last_outage = Some(Outage {
             started_at,
             ended_at: now,
         });
         Some(outage)
     }
 
-    /// A call that began at `began` was refused or not answered. Returns true
-    /// for the first one.
+    /// Records that a call started at `call_started` was rejected or got no
+    /// response. Returns true for the first failure since the last success.
     ///
-    /// A call that began before another one was answered says nothing of the
-    /// store: its connection was lost.
-    pub fn record_failure(&mut self, began: Instant) -> bool {
-        if self.answered_at.is_some_and(|at| at >= began) {
+    /// A call that started before the last successful one ended is ignored:
+    /// only its connection was lost, and the store can be reached.
+    pub fn record_failure(&mut self, call_started: Instant) -> bool {
+        if self.last_success_at.is_some_and(|at| at >= call_started) {
             return false;
         }
         let first = self.failing_since.is_none();
-        self.failing_since.get_or_insert(began);
+        self.failing_since.get_or_insert(call_started);
         first
     }
 
-    /// No call was answered since one failed.
+    /// Reports whether calls are failing, that is, none has succeeded since the
+    /// last failure.
     pub fn is_failing(&self) -> bool {
         self.failing_since.is_some()
     }
 
-    /// Age of the newest confirmation.
+    /// Returns the age of the newest confirmation, or `None` if there is none.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed_at
             .map(|at| now.saturating_duration_since(at))
     }
 
-    /// The copy was current at most `limit` ago.
+    /// Reports whether the copy was confirmed as current at most `limit` ago.
     pub fn is_confirmed_within(&self, limit: Duration, now: Instant) -> bool {
         self.confirmation_age(now).is_some_and(|age| age <= limit)
     }
 
-    /// The last outage that ended.
+    /// Returns the last outage that ended, unless it was discarded.
     pub fn last_outage(&self) -> Option<Outage> {
-        self.back
+        self.last_outage
     }
 
-    /// Takes an outage that the VM met through which this one reads the store.
+    /// Records an outage seen by the VM that relays the store to this one,
+    /// unless it is already known.
     pub fn adopt_outage(&mut self, outage: Outage) {
         let newer = self
-            .back
+            .last_outage
             .is_none_or(|known| outage.started_at > known.ended_at);
-        // Ages are rounded, so an outage that is known may seem a little newer.
+        // Relayed ages are rounded, so a known outage may appear slightly
+        // newer. Only one that started after the known one ended is new.
         if newer {
-            self.back = Some(outage);
+            self.last_outage = Some(outage);
         }
     }
 
-    /// Other VMs reached the store during the last outage, so it was only this
-    /// VM's.
+    /// Discards the last outage, because other VMs reached the store during it:
+    /// only this VM was cut off.
     pub fn discard_local_outage(&mut self) {
-        self.back = None;
+        self.last_outage = None;
     }
 
-    /// How long the store has answered without an outage, as other VMs are
-    /// told. Zero while it does not answer.
-    pub fn available_for(&self, started: Instant, now: Instant) -> Duration {
-        if self.failing_since.is_some() || self.answered_at.is_none() {
+    /// Returns for how long the store has been available without an outage, as
+    /// reported to other VMs; zero while calls fail. `process_started` counts
+    /// as the start if there was no outage.
+    pub fn available_for(&self, process_started: Instant, now: Instant) -> Duration {
+        if self.failing_since.is_some() || self.last_success_at.is_none() {
             return Duration::ZERO;
         }
-        let since = self.back.map_or(started, |outage| outage.ended_at);
+        let since = self
+            .last_outage
+            .map_or(process_started, |outage| outage.ended_at);
         now.saturating_duration_since(since)
     }
 }
