--- a/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What one VM believes of an endpoint.
+//! One VM's estimate of the state of an endpoint.
 
 use std::time::{Duration, Instant};
 
@@ -8,67 +8,78 @@
 use crate::steering::endpoint::Endpoint;
 use crate::steering::placement::endpoint_hash;
 
-/// Time in which the difference between a load report and the mean of the
-/// reports fades, in seconds; about that of a few requests.
-const REPORT_FADE: f64 = 0.7;
+/// Time constant in seconds with which the difference between a load report and
+/// the mean of the reports decays. It is about the duration of a few requests,
+/// after which the reported ones have ended.
+const REPORT_DECAY_SECONDS: f64 = 0.7;
 
-/// Weight of one load report in their mean.
+/// Weight of one load report in the moving average of the reports.
 const REPORT_WEIGHT: f64 = 0.1;
 
-/// Time in which the memory of failures and slowness fades by half, in
-/// seconds. Longer keeps endpoints out that have recovered.
-const FADE_HALF: f64 = 4.0;
+/// Half-life in seconds of recorded failures and slowness. A longer one keeps
+/// endpoints out of use after they have recovered.
+const HALF_LIFE_SECONDS: f64 = 4.0;
 
-/// Weight of one outcome in the share of failures.
+/// Weight of one outcome in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.25;
 
-/// Exponent with which one latency changes an endpoint's slowness.
+/// Exponent applied to the ratio of a measured latency to the expected one
+/// before it is multiplied into the endpoint's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.25;
 
-/// Range of an endpoint's slowness.
-const SLOWNESS: std::ops::RangeInclusive<f64> = 0.7..=30.0;
+/// Range to which an endpoint's slowness is limited.
+const SLOWNESS_RANGE: std::ops::RangeInclusive<f64> = 0.7..=30.0;
 
-/// First rest of an endpoint that cannot be reached, and the longest.
-const REST_FIRST: Duration = Duration::from_millis(250);
-const REST_LONGEST: Duration = Duration::from_secs(2);
+/// Backoff after the first failed connection to an endpoint.
+const FIRST_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Requests that an endpoint is assumed to hold, in multiples of its slots,
-/// before it refuses one.
-const QUEUE_GUESS: f64 = 4.0;
+/// Limit up to which the backoff doubles with each failed probe.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+
+/// Requests for each slot that an endpoint is assumed to hold, running and
+/// queued, until it refuses one.
+const DEFAULT_CAPACITY_PER_SLOT: f64 = 4.0;
 
 #[derive(Debug)]
 pub(super) struct EndpointState {
     pub(super) endpoint: Endpoint,
+    /// Hash of the endpoint's id.
     pub(super) hash: u64,
     pub(super) region: RegionName,
-    /// Requests of this VM.
+    /// Requests of this VM at the endpoint.
     pub(super) in_flight: u32,
-    /// Requests of other VMs at the last report.
-    pub(super) others: f64,
-    /// Requests of other VMs in the mean of the reports.
-    pub(super) others_mean: f64,
+    /// Requests of other VMs according to the last load report.
+    pub(super) other_load: f64,
+    /// Moving average of `other_load` over the load reports.
+    pub(super) other_load_mean: f64,
     pub(super) reported_at: Option<Instant>,
-    /// Requests that it holds at most, learned from its refusals.
+    /// Requests that the endpoint holds at most, running and queued, as learned
+    /// from its refusals.
     pub(super) capacity: f64,
-    /// Share of failures, at `faded_at`.
+    /// Moving average of the fraction of requests that fail, as of
+    /// `decayed_at`.
     pub(super) failures: f64,
-    /// Time that it takes in multiples of other endpoints', at `faded_at`.
+    /// Latency as a multiple of that of the other endpoints, as of
+    /// `decayed_at`.
     pub(super) slowness: f64,
-    pub(super) faded_at: Instant,
-    pub(super) rest: Option<Rest>,
-    /// Another endpoint answered at its address.
+    pub(super) decayed_at: Instant,
+    pub(super) ejection: Option<Ejection>,
+    /// Another endpoint has responded at its address.
     pub(super) mismatched: bool,
     pub(super) cold_until: Option<Instant>,
-    /// `None` when this VM may not send to it while it is cold.
-    pub(super) cold: Option<ColdStartLimit>,
+    /// Limits the requests of this VM while the endpoint is cold. `None` then
+    /// means that this VM must not send to it.
+    pub(super) cold_limit: Option<ColdStartLimit>,
 }
 
-/// An endpoint that cannot be reached gets one request at a time, after a rest.
+/// The ejection of an endpoint that could not be reached. It receives nothing
+/// until the backoff has passed, and then one probe request at a time.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Rest {
+pub(super) struct Ejection {
     pub(super) until: Instant,
-    pub(super) length: Duration,
-    pub(super) trial: bool,
+    pub(super) backoff: Duration,
+    /// A probe request is in flight.
+    pub(super) probing: bool,
 }
 
 impl EndpointState {
@@ -78,22 +89,22 @@
             hash: endpoint_hash(&endpoint.key.id),
             region,
             in_flight: 0,
-            others: 0.0,
-            others_mean: 0.0,
+            other_load: 0.0,
+            other_load_mean: 0.0,
             reported_at: None,
-            capacity: f64::from(endpoint.slots) * QUEUE_GUESS,
+            capacity: f64::from(endpoint.slots) * DEFAULT_CAPACITY_PER_SLOT,
             failures: 0.0,
             slowness: 1.0,
-            faded_at: now,
-            rest: None,
+            decayed_at: now,
+            ejection: None,
             mismatched: false,
             cold_until: None,
-            cold: None,
+            cold_limit: None,
         }
     }
 
-    /// The endpoint is cold for at least `time` from now.
-    pub(super) fn warm_up(&mut self, time: Duration, now: Instant) {
+    /// Marks the endpoint as cold for at least `time` from now.
+    pub(super) fn mark_cold(&mut self, time: Duration, now: Instant) {
         if time > Duration::ZERO {
             self.cold_until = self.cold_until.max(Some(now + time));
         }
@@ -103,50 +114,60 @@
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Requests of all VMs, as far as known.
+    /// Returns the best known estimate of the requests of all VMs at the
+    /// endpoint: this VM's own, plus those of the others from the load reports.
+    /// The last report counts most while it is recent, the average afterwards.
     pub(super) fn load(&self, now: Instant) -> f64 {
         let age = self.reported_at.map_or(f64::INFINITY, |at| {
             now.saturating_duration_since(at).as_secs_f64()
         });
-        let recent = (self.others - self.others_mean) * (-age / REPORT_FADE).exp();
-        f64::from(self.in_flight) + (self.others_mean + recent).max(0.0)
+        let recent = (self.other_load - self.other_load_mean) * (-age / REPORT_DECAY_SECONDS).exp();
+        f64::from(self.in_flight) + (self.other_load_mean + recent).max(0.0)
     }
 
-    pub(super) fn is_open(&self, now: Instant) -> bool {
-        if self.rest.is_some_and(|rest| rest.trial || now < rest.until) {
+    /// Reports whether a request may be sent now, as far as ejection and cold
+    /// start are concerned.
+    pub(super) fn is_available(&self, now: Instant) -> bool {
+        if self
+            .ejection
+            .is_some_and(|ejection| ejection.probing || now < ejection.until)
+        {
             return false;
         }
         if !self.is_cold(now) {
             return true;
         }
-        self.cold
+        self.cold_limit
             .clone()
             .is_some_and(|mut limit| limit.has_token(now))
     }
 
-    pub(super) fn begin(&mut self, now: Instant) {
+    /// Counts a request that is about to be sent to the endpoint.
+    pub(super) fn start_request(&mut self, now: Instant) {
         self.in_flight += 1;
         if self.is_cold(now)
-            && let Some(limit) = &mut self.cold
+            && let Some(limit) = &mut self.cold_limit
         {
             limit.try_take(now);
         }
-        if let Some(rest) = &mut self.rest {
-            rest.trial = true;
+        if let Some(ejection) = &mut self.ejection {
+            ejection.probing = true;
         }
     }
 
-    pub(super) fn note_report(&mut self, report: LoadReport, now: Instant) {
+    pub(super) fn record_report(&mut self, report: LoadReport, now: Instant) {
         let requests = f64::from(report.requests);
-        self.others = (requests - f64::from(self.in_flight)).max(0.0);
-        self.others_mean += (self.others - self.others_mean) * REPORT_WEIGHT;
+        self.other_load = (requests - f64::from(self.in_flight)).max(0.0);
+        self.other_load_mean += (self.other_load - self.other_load_mean) * REPORT_WEIGHT;
         self.reported_at = Some(now);
         if report.slots > 0 {
             self.endpoint.slots = report.slots;
         }
     }
 
-    pub(super) fn note_outcome(
+    /// Records the outcome of a request. Returns the backoff if the endpoint is
+    /// ejected because of it.
+    pub(super) fn record_outcome(
         &mut self,
         target: &Target,
         outcome: Outcome,
@@ -154,85 +175,91 @@
     ) -> Option<Duration> {
         match outcome {
             Outcome::Answered { latency, failed } => {
-                self.rest = None;
-                self.note_failure(failed, now);
-                self.note_latency(target, latency, now);
-                self.capacity =
-                    (self.capacity + 0.1).min(f64::from(self.endpoint.slots) * QUEUE_GUESS);
+                self.ejection = None;
+                self.record_failure(failed, now);
+                self.record_latency(target, latency, now);
+                self.capacity = (self.capacity + 0.1)
+                    .min(f64::from(self.endpoint.slots) * DEFAULT_CAPACITY_PER_SLOT);
             }
-            Outcome::Refused => self.note_refusal(now),
+            Outcome::Refused => self.record_refusal(now),
             Outcome::Mismatched => self.mismatched = true,
-            Outcome::Unreachable => return Some(self.begin_rest(now)),
+            Outcome::Unreachable => return Some(self.eject(now)),
             Outcome::ConnectionLost => {
-                self.note_failure(true, now);
-                return self.rest.is_some().then(|| self.begin_rest(now));
+                self.record_failure(true, now);
+                return self.ejection.is_some().then(|| self.eject(now));
             }
             Outcome::TimedOut => {
-                self.note_failure(true, now);
-                self.note_latency(target, target.expected_latency.saturating_mul(4), now);
-                return self.rest.is_some().then(|| self.begin_rest(now));
+                self.record_failure(true, now);
+                self.record_latency(target, target.expected_latency.saturating_mul(4), now);
+                return self.ejection.is_some().then(|| self.eject(now));
             }
             Outcome::Cancelled => {
-                if let Some(rest) = &mut self.rest {
-                    rest.trial = false;
+                if let Some(ejection) = &mut self.ejection {
+                    ejection.probing = false;
                 }
             }
         }
         None
     }
 
-    /// The endpoint refused because it is full, or fails to take work although
-    /// it is not.
-    pub(super) fn note_refusal(&mut self, now: Instant) {
-        self.rest = None;
+    /// Records a refusal. If the estimated load exceeds the slots, the endpoint
+    /// is full and its capacity is known from now on. Otherwise it has free
+    /// slots but does not accept requests, which counts as a failure.
+    pub(super) fn record_refusal(&mut self, now: Instant) {
+        self.ejection = None;
         let load = self.load(now) + 1.0;
         let slots = f64::from(self.endpoint.slots);
         if load > slots {
             self.capacity = load.max(slots);
         } else {
-            self.note_failure(true, now);
+            self.record_failure(true, now);
         }
     }
 
-    pub(super) fn note_failure(&mut self, failed: bool, now: Instant) {
-        self.fade(now);
+    /// Adds one outcome to the moving average of failures.
+    pub(super) fn record_failure(&mut self, failed: bool, now: Instant) {
+        self.decay(now);
         let sample = if failed { 1.0 } else { 0.0 };
         self.failures += (sample - self.failures) * FAILURE_WEIGHT;
     }
 
-    pub(super) fn note_latency(&mut self, target: &Target, latency: Duration, now: Instant) {
-        self.fade(now);
+    pub(super) fn record_latency(&mut self, target: &Target, latency: Duration, now: Instant) {
+        self.decay(now);
         let expected = target.expected_latency.as_secs_f64().max(0.001);
         let ratio = latency.as_secs_f64() / expected;
         let slowness = self.slowness * ratio.clamp(0.2, 20.0).powf(SLOWNESS_WEIGHT);
-        self.slowness = slowness.clamp(*SLOWNESS.start(), *SLOWNESS.end());
+        self.slowness = slowness.clamp(*SLOWNESS_RANGE.start(), *SLOWNESS_RANGE.end());
     }
 
-    pub(super) fn begin_rest(&mut self, now: Instant) -> Duration {
-        let length = match self.rest {
-            // Requests that were sent together fail together.
-            Some(rest) if !rest.trial => rest.length,
-            Some(rest) => (rest.length * 2).min(REST_LONGEST),
-            None => REST_FIRST,
+    /// Ejects the endpoint and returns its backoff, which doubles only when a
+    /// probe has failed.
+    pub(super) fn eject(&mut self, now: Instant) -> Duration {
+        let backoff = match self.ejection {
+            // Requests that were in flight together fail together, so only the
+            // first of these failures counts.
+            Some(ejection) if !ejection.probing => ejection.backoff,
+            Some(ejection) => (ejection.backoff * 2).min(MAX_BACKOFF),
+            None => FIRST_BACKOFF,
         };
-        let until = now + length;
-        self.rest = Some(Rest {
+        let until = now + backoff;
+        self.ejection = Some(Ejection {
             until,
-            length,
-            trial: false,
+            backoff,
+            probing: false,
         });
-        length
+        backoff
     }
 
-    pub(super) fn fade(&mut self, now: Instant) {
-        self.failures = self.faded(self.failures, 0.0, now);
-        self.slowness = self.faded(self.slowness, 1.0, now);
-        self.faded_at = self.faded_at.max(now);
+    pub(super) fn decay(&mut self, now: Instant) {
+        self.failures = self.decayed(self.failures, 0.0, now);
+        self.slowness = self.decayed(self.slowness, 1.0, now);
+        self.decayed_at = self.decayed_at.max(now);
     }
 
-    /// `value` as it has come closer to `rest` since `faded_at`.
-    pub(super) fn faded(&self, value: f64, rest: f64, now: Instant) -> f64 {
-        let elapsed = now.saturating_duration_since(self.faded_at).as_secs_f64();
-        rest + (value - rest) * 0.5_f64.powf(elapsed / FADE_HALF)
+    /// Returns `value` after exponential decay towards `baseline` since
+    /// `decayed_at`.
+    pub(super) fn decayed(&self, value: f64, baseline: f64, now: Instant) -> f64 {
+        let elapsed = now.saturating_duration_since(self.decayed_at).as_secs_f64();
+        baseline + (value - baseline) * 0.5_f64.powf(elapsed / HALF_LIFE_SECONDS)
     }
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -1,9 +1,9 @@
 //! Picks an endpoint for a request, or refuses the request.
 //!
-//! Answers overload and failing endpoints: a request waits at the endpoint
-//! that handled its object recently while that is faster than another one that
-//! did not, goes elsewhere when it is not, and is refused at once when no
-//! endpoint would answer in time.
+//! Designed for overload and failing endpoints. A request waits at the endpoint
+//! that handled its object recently as long as that is faster than sending it to
+//! another one. Otherwise it goes to another endpoint, and it is refused at once
+//! when no endpoint is expected to respond in time.
 
 mod endpoint_state;
 mod ranking;
@@ -16,7 +16,7 @@
 
 use self::endpoint_state::EndpointState;
 pub use self::request::{LoadReport, Outcome, Pick, PickRefusal, PickRequest, Target};
-use self::service_state::{Choice, ServiceState, TIME_USED, spill_config};
+use self::service_state::{Candidate, ServiceState, TIME_LEFT_USED, spill_config};
 use crate::names::{FailureDomainName, RegionName, ServiceName, VmName};
 use crate::steering::affinity::{Affinity, AffinityTable};
 use crate::steering::cold_start::{ColdStartLimit, cold_start_senders};
@@ -25,61 +25,68 @@
 use crate::steering::placement::{RegionSplit, endpoint_hash, score, unit_interval};
 use crate::steering::retry::RetryConfig;
 
-/// What each further place in the ranking counts, so that equal endpoints are
-/// taken in the same order by all VMs.
+/// Cost in seconds of each further position in the ranking, so that all VMs
+/// prefer otherwise equal endpoints in the same order.
 const RANK_COST: f64 = 0.010;
 
-/// Assumed round trip to another region before one was measured, in seconds.
-const FAR_ROUND_TRIP: f64 = 0.080;
+/// Assumed round trip to another region in seconds, before one is measured.
+const DEFAULT_ROUND_TRIP: f64 = 0.080;
 
-/// How long an endpoint is assumed to remember an object.
-const OBJECT_MEMORY: Duration = Duration::from_secs(20);
+/// How long an endpoint is assumed to keep an object in its cache.
+const CACHE_RETENTION: Duration = Duration::from_secs(20);
 
-/// Objects that are remembered at most, to bound memory.
-const MOST_OBJECTS: usize = 20_000;
+/// Maximum number of pairs of object and endpoint for which the time of the last
+/// request is kept. Bounds memory.
+const MAX_CACHED_OBJECTS: usize = 20_000;
 
-/// Shortest and longest time after which a refused caller should come back.
+/// Base and upper limit of the delay after which a refused caller should retry.
+/// Beside the expected wait, the delay contains 0.5 to 1.5 times the base.
 const RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_millis(1_000));
 
-/// Requests that leave a region before one takes its object's home with it,
-/// which moves all later requests for the object.
-const LEAVES_FOR_MOVE: u64 = 4;
+/// One in this many requests that leave the region of their preferred endpoint
+/// moves its object's affinity, and with it all later requests for the object.
+const SPILLS_PER_MOVE: u64 = 4;
 
-/// What the balancer knows from settings.
+/// Settings of a [`Balancer`].
 #[derive(Clone, Debug)]
 pub struct BalancerConfig {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of this VM.
     pub region: RegionName,
-    /// Regions of the failure domains.
+    /// Region of each failure domain. Endpoints in other failure domains are
+    /// ignored.
     pub regions: HashMap<FailureDomainName, RegionName>,
-    /// Limits of repeats for each service.
+    /// Limits on the retries to each service.
     pub retry: RetryConfig,
-    /// Part of a region's requests that may change their region in one period.
+    /// Fraction of a region's requests that may change their region in one
+    /// period.
     pub shift_cap: f64,
 }
 
-/// What one VM believes of all endpoints, and the decisions that follow.
+/// One VM's estimates of all endpoints, and the placement decisions that it
+/// bases on them.
 #[derive(Debug)]
 pub struct Balancer {
     cfg: BalancerConfig,
     deployment: Arc<Deployment>,
     services: HashMap<ServiceName, ServiceState>,
     evacuated: HashSet<FailureDomainName>,
-    /// VMs that run, this one included.
+    /// VMs that are running, including this one.
     vms: Vec<VmName>,
-    /// When an object was last handled by an endpoint, by their hashes.
-    objects: HashMap<(u64, u64), Instant>,
-    /// Which endpoint handles each object.
-    homes: AffinityTable,
-    /// Round trips to other regions in seconds.
+    /// When an endpoint last handled an object, by the hashes of the object and
+    /// the endpoint.
+    last_served: HashMap<(u64, u64), Instant>,
+    /// Which endpoint serves each object.
+    affinities: AffinityTable,
+    /// Estimated round trips to other regions in seconds.
     round_trips: HashMap<RegionName, f64>,
 }
 
 impl Balancer {
-    /// Starts without a configuration and without endpoints.
+    /// Creates a balancer with an empty configuration and without endpoints, for
+    /// which this VM is the only one.
     pub fn new(cfg: BalancerConfig) -> Self {
         let vms = vec![cfg.vm.clone()];
         Self {
@@ -88,18 +95,18 @@
             services: HashMap::new(),
             evacuated: HashSet::new(),
             vms,
-            objects: HashMap::new(),
-            homes: AffinityTable::default(),
+            last_served: HashMap::new(),
+            affinities: AffinityTable::default(),
             round_trips: HashMap::new(),
         }
     }
 
-    /// Puts another configuration in force.
+    /// Replaces the configuration in force.
     pub fn set_deployment(&mut self, deployment: Arc<Deployment>) {
         self.deployment = deployment;
     }
 
-    /// Replaces the VMs that run, this one included.
+    /// Replaces the list of running VMs, which includes this one.
     pub fn set_vms(&mut self, vms: Vec<VmName>, now: Instant) {
         if self.vms == vms {
             return;
@@ -107,13 +114,13 @@
         self.vms = vms;
         for service in self.services.values_mut() {
             for state in service.endpoints.values_mut() {
-                state.cold = None;
+                state.cold_limit = None;
             }
         }
-        self.renew_cold_limits(now);
+        self.update_cold_limits(now);
     }
 
-    /// Replaces the endpoints. What is known of those that stay is kept.
+    /// Replaces the endpoints. The estimates of those that remain are kept.
     pub fn set_endpoints<'a>(
         &mut self,
         endpoints: impl Iterator<Item = &'a Endpoint>,
@@ -126,7 +133,7 @@
             .collect();
         for endpoint in endpoints {
             let Some(region) = self.cfg.regions.get(&endpoint.failure_domain) else {
-                // Registrations that name an unknown place cannot be placed.
+                // The region of an unknown failure domain cannot be determined.
                 continue;
             };
             let mut state = match old.remove(&endpoint.key) {
@@ -137,7 +144,7 @@
                 }
                 None => EndpointState::new(endpoint, region.clone(), now),
             };
-            state.warm_up(endpoint.cold_for, now);
+            state.mark_cold(endpoint.cold_for, now);
             self.services
                 .entry(endpoint.service.clone())
                 .or_insert_with(|| ServiceState::new(&self.cfg, now))
@@ -147,39 +154,42 @@
         for service in self.services.values_mut() {
             service.endpoints.sort_unstable_keys();
         }
-        self.divide_regions();
-        self.renew_cold_limits(now);
+        self.update_region_splits();
+        self.update_cold_limits(now);
     }
 
-    /// Replaces the failure domains whose endpoints get nothing. Endpoints of
-    /// a domain that is taken back are cold.
+    /// Replaces the failure domains whose endpoints must not receive requests.
+    /// Endpoints in a failure domain that is no longer evacuated count as cold.
     pub fn set_evacuated(&mut self, evacuated: HashSet<FailureDomainName>, now: Instant) {
-        let back: Vec<FailureDomainName> = self.evacuated.difference(&evacuated).cloned().collect();
+        let restored: Vec<FailureDomainName> =
+            self.evacuated.difference(&evacuated).cloned().collect();
         self.evacuated = evacuated;
         for (name, service) in &mut self.services {
-            let time = self
+            let cold_time = self
                 .deployment
                 .services
                 .get(name)
                 .map_or(Duration::ZERO, |s| s.cold_time);
             for state in service.endpoints.values_mut() {
-                if back.contains(&state.endpoint.failure_domain) {
-                    state.warm_up(time, now);
+                if restored.contains(&state.endpoint.failure_domain) {
+                    state.mark_cold(cold_time, now);
                 }
             }
         }
-        self.divide_regions();
-        self.renew_cold_limits(now);
+        self.update_region_splits();
+        self.update_cold_limits(now);
     }
 
-    /// Notes how long it took to connect to an endpoint of another region.
+    /// Updates the estimated round trip to a region with the time that it took
+    /// to connect to an endpoint there. Ignored for this VM's own region.
     pub fn record_connect_time(&mut self, region: &RegionName, time: Duration) {
         if *region == self.cfg.region {
             return;
         }
         let time = time.as_secs_f64();
         let known = self.round_trips.entry(region.clone()).or_insert(time);
-        // The shortest times show the distance, longer ones show load.
+        // A shorter time is adopted at once, because the shortest times reflect
+        // the distance. Longer ones also contain load and count little.
         *known = if time < *known {
             time
         } else {
@@ -191,62 +201,70 @@
     pub fn count_request(&mut self, service: &ServiceName, priority: u32, now: Instant) {
         if let Some(state) = self.services.get_mut(service) {
             state.spill.request(&spill_config(&self.cfg), now);
-            state.budget.count_request(now);
-            state.note_priority(priority, now);
+            state.retry_budget.count_request(now);
+            state.record_priority(priority, now);
         }
     }
 
-    /// Takes a repeat from the budget of a service.
+    /// Takes one retry from the budget of a service, and returns false if none
+    /// is left or the service is unknown.
     pub fn try_take_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let vms = self.vms.len();
         self.services
             .get_mut(service)
-            .is_some_and(|state| state.budget.try_take(now, vms))
+            .is_some_and(|state| state.retry_budget.try_take(now, vms))
     }
 
-    /// Picks an endpoint and counts the request there, or refuses. Each pick
-    /// must be ended by [`Balancer::finish`].
+    /// Picks an endpoint and counts the request there, or refuses the request.
+    /// Each picked [`Target`] must be passed to [`Balancer::finish`] once the
+    /// request has ended.
     pub fn pick(&mut self, request: &PickRequest<'_>, now: Instant) -> Pick {
         let Some(service) = self.services.get(request.service) else {
             return Pick::Refuse(PickRefusal::NoEndpoint);
         };
-        let order = self.order(service, request, now);
-        if order.is_empty() {
+        let ranking = self.rank_endpoints(service, request, now);
+        if ranking.is_empty() {
             return Pick::Refuse(PickRefusal::NoEndpoint);
         }
-        let first = self.best(service, request, &order[..1], 0, now);
-        let choice = first
-            .filter(|choice| service.permits(request, choice, now))
-            .or_else(|| self.elsewhere(service, request, &order, now));
-        // A home that cannot be reached is no matter of free slots.
-        let home = &service.endpoints[order[0]];
-        let leaves = home.is_open(now)
-            && choice.is_some_and(|choice| service.endpoints[choice.index].region != home.region);
+        let first = self.cheapest(service, request, &ranking[..1], 0, now);
+        let candidate = first
+            .filter(|candidate| service.permits(request, candidate, now))
+            .or_else(|| self.pick_fallback(service, request, &ranking, now));
+        // The spill limit applies only while the preferred endpoint is
+        // available and lacks a free slot, not when it cannot be used at all.
+        let preferred = &service.endpoints[ranking[0]];
+        let spills = preferred.is_available(now)
+            && candidate.is_some_and(|candidate| {
+                service.endpoints[candidate.index].region != preferred.region
+            });
         let spill = spill_config(&self.cfg);
-        let time_left = request.time_left.as_secs_f64() * TIME_USED;
-        let mut moves = !leaves;
-        let choice = choice.and_then(|choice| {
+        let time_left = request.time_left.as_secs_f64() * TIME_LEFT_USED;
+        let mut sets_affinity = !spills;
+        let candidate = candidate.and_then(|candidate| {
             let service = self.services.get_mut(request.service)?;
-            if !leaves {
-                return Some(choice);
+            if !spills {
+                return Some(candidate);
             }
             if !service.spill.try_leave(&spill, now) {
                 return first.filter(|first| first.cost <= time_left);
             }
-            service.left += 1;
-            moves = service.left % LEAVES_FOR_MOVE == 0;
-            Some(choice)
+            service.spilled += 1;
+            sets_affinity = service.spilled % SPILLS_PER_MOVE == 0;
+            Some(candidate)
         });
-        match choice {
-            Some(choice) => Pick::Send(self.begin(request, choice, moves, now)),
+        match candidate {
+            Some(candidate) => {
+                Pick::Send(self.start_request(request, candidate, sets_affinity, now))
+            }
             None => {
-                let wait = first.map_or(0.0, |choice| choice.wait);
-                Pick::Refuse(PickRefusal::Busy(come_back(wait, request.object)))
+                let wait = first.map_or(0.0, |candidate| candidate.wait);
+                Pick::Refuse(PickRefusal::Busy(retry_after(wait, request.object)))
             }
         }
     }
 
-    /// Ends a pick. Returns how long the endpoint rests when it begins a rest.
+    /// Records the outcome of a picked request and the endpoint's load report.
+    /// Returns the backoff if the endpoint is ejected because of it.
     pub fn finish(
         &mut self,
         target: &Target,
@@ -262,30 +280,31 @@
         } = outcome
         {
             let hash = endpoint_hash(&target.key.id);
-            remember(&mut self.objects, (object, hash), now);
-            service.learn(target, latency);
+            record_served(&mut self.last_served, (object, hash), now);
+            service.record_latency(target, latency);
         }
         let state = service.endpoints.get_mut(&target.key)?;
         state.in_flight = state.in_flight.saturating_sub(1);
         if let Some(report) = report {
-            state.note_report(report, now);
+            state.record_report(report, now);
         }
-        state.note_outcome(target, outcome, now)
+        state.record_outcome(target, outcome, now)
     }
 
-    /// Takes homes of objects that another VM told.
-    pub fn apply_affinities(&mut self, homes: Vec<Affinity>, now: Instant) {
-        for home in homes {
-            self.homes.apply_update(home, now);
+    /// Applies affinities received from another VM.
+    pub fn apply_affinities(&mut self, affinities: Vec<Affinity>, now: Instant) {
+        for affinity in affinities {
+            self.affinities.apply_update(affinity, now);
         }
     }
 
-    /// AffinityTable of objects that are to be told to other VMs.
+    /// Returns the affinity table, to send its updates to other VMs.
     pub fn affinities(&mut self) -> &mut AffinityTable {
-        &mut self.homes
+        &mut self.affinities
     }
 
-    /// Endpoints by service with what is believed of them, for a dump.
+    /// Returns the estimates of all endpoints, grouped by service, for the
+    /// operator's dump.
     pub fn endpoint_estimates(&self, now: Instant) -> impl Iterator<Item = EndpointEstimate<'_>> {
         self.services.values().flat_map(move |service| {
             service
@@ -295,26 +314,27 @@
                     endpoint: &state.endpoint,
                     in_flight: state.in_flight,
                     load: state.load(now),
-                    failures: state.faded(state.failures, 0.0, now),
-                    slowness: state.faded(state.slowness, 1.0, now),
-                    ejected: state.rest.is_some_and(|rest| now < rest.until),
+                    failures: state.decayed(state.failures, 0.0, now),
+                    slowness: state.decayed(state.slowness, 1.0, now),
+                    ejected: state.ejection.is_some_and(|ejection| now < ejection.until),
                     cold: state.is_cold(now),
                 })
         })
     }
 
-    /// Counts a request at its endpoint. One that `moves` its object makes the
-    /// endpoint its home.
-    fn begin(
+    /// Counts a request at the picked endpoint. If `sets_affinity` is true, the
+    /// first attempt of a sticky request also sets the affinity of its object to
+    /// that endpoint.
+    fn start_request(
         &mut self,
         request: &PickRequest<'_>,
-        choice: Choice,
-        moves: bool,
+        candidate: Candidate,
+        sets_affinity: bool,
         now: Instant,
     ) -> Target {
         let round_trip = |region: &RegionName| self.round_trip(region);
         let service = &self.services[request.service];
-        let state = &service.endpoints[choice.index];
+        let state = &service.endpoints[candidate.index];
         let hash = state.hash;
         let target = Target {
             service: request.service.clone(),
@@ -322,31 +342,33 @@
             address: state.endpoint.address,
             region: state.region.clone(),
             expected_latency: Duration::from_secs_f64(
-                (choice.cost - choice.rank as f64 * RANK_COST).clamp(0.0, 60.0),
+                (candidate.cost - candidate.rank as f64 * RANK_COST).clamp(0.0, 60.0),
             )
             .max(Duration::from_secs_f64(round_trip(&state.region))),
             load: state.load(now),
             slots: state.endpoint.slots,
-            object_cached: choice.repeat,
-            rank: choice.rank,
+            object_cached: candidate.object_cached,
+            rank: candidate.rank,
             report_age: state
                 .reported_at
                 .map(|at| now.saturating_duration_since(at)),
         };
-        if request.sticky && request.tried.is_empty() && moves {
-            let key = self.home_key(&self.services[request.service], request);
-            self.homes.record_use(key, hash, now);
+        if request.sticky && request.tried.is_empty() && sets_affinity {
+            let key = self.affinity_key(&self.services[request.service], request);
+            self.affinities.record_use(key, hash, now);
         }
         if let Some(state) = self
             .services
             .get_mut(request.service)
             .and_then(|service| service.endpoints.get_mut(&target.key))
         {
-            state.begin(now);
+            state.start_request(now);
         }
         target
     }
 
+    /// Returns the estimated round trip to a region in seconds; zero for this
+    /// VM's own.
     fn round_trip(&self, region: &RegionName) -> f64 {
         if *region == self.cfg.region {
             return 0.0;
@@ -354,16 +376,19 @@
         self.round_trips
             .get(region)
             .copied()
-            .unwrap_or(FAR_ROUND_TRIP)
+            .unwrap_or(DEFAULT_ROUND_TRIP)
     }
 
-    fn remembers(&self, object: u64, endpoint: u64, now: Instant) -> bool {
-        self.objects
+    /// Reports whether an endpoint is assumed to have an object in its cache.
+    fn is_cached(&self, object: u64, endpoint: u64, now: Instant) -> bool {
+        self.last_served
             .get(&(object, endpoint))
-            .is_some_and(|at| now.saturating_duration_since(*at) <= OBJECT_MEMORY)
+            .is_some_and(|at| now.saturating_duration_since(*at) <= CACHE_RETENTION)
     }
 
-    fn divide_regions(&mut self) {
+    /// Divides the objects of each service among regions by their slots. All
+    /// regions are assumed to have the same demand.
+    fn update_region_splits(&mut self) {
         let mut regions: Vec<RegionName> = self.cfg.regions.values().cloned().collect();
         regions.sort();
         regions.dedup();
@@ -373,11 +398,13 @@
                 .iter()
                 .map(|region| (region.clone(), service.slots_in(region, &self.evacuated)))
                 .collect();
-            service.split = RegionSplit::new(&capacity, &demand);
+            service.region_split = RegionSplit::new(&capacity, &demand);
         }
     }
 
-    fn renew_cold_limits(&mut self, now: Instant) {
+    /// Creates and removes the rate limits of cold endpoints. Existing limits are
+    /// kept, because a new one would start with another token.
+    fn update_cold_limits(&mut self, now: Instant) {
         for (name, service) in &mut self.services {
             let rate = self
                 .deployment
@@ -386,54 +413,60 @@
                 .map_or(0.0, |s| s.cold_rate);
             for (key, state) in &mut service.endpoints {
                 if !state.is_cold(now) {
-                    state.cold = None;
+                    state.cold_limit = None;
                     continue;
                 }
                 match cold_start_senders(&key.id, &self.cfg.vm, &self.vms) {
-                    Some(senders) if state.cold.is_none() => {
-                        state.cold = Some(ColdStartLimit::new(rate, senders, now));
+                    Some(senders) if state.cold_limit.is_none() => {
+                        state.cold_limit = Some(ColdStartLimit::new(rate, senders, now));
                     }
                     Some(_) => {}
-                    None => state.cold = None,
+                    None => state.cold_limit = None,
                 }
             }
         }
     }
 }
 
-/// What is believed of one endpoint.
+/// This VM's estimates of one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEstimate<'a> {
-    /// The endpoint.
+    /// The registration of the endpoint.
     pub endpoint: &'a Endpoint,
-    /// Requests of this VM that it has.
+    /// Requests of this VM at the endpoint.
     pub in_flight: u32,
-    /// Requests of all VMs that it has, as far as known.
+    /// Best known estimate of the requests of all VMs at the endpoint.
     pub load: f64,
-    /// Share of its answers that fail.
+    /// Fraction of its requests that fail.
     pub failures: f64,
-    /// Time that it takes in multiples of other endpoints'.
+    /// Its latency as a multiple of that of the other endpoints.
     pub slowness: f64,
-    /// It could not be reached, and gets nothing for now.
+    /// It could not be reached and receives no requests until its backoff has
+    /// passed.
     pub ejected: bool,
-    /// It has just started.
+    /// It has just started, and its request rate is limited.
     pub cold: bool,
 }
 
-fn remember(objects: &mut HashMap<(u64, u64), Instant>, entry: (u64, u64), now: Instant) {
-    if objects.len() >= MOST_OBJECTS {
-        objects.retain(|_, at| now.saturating_duration_since(*at) <= OBJECT_MEMORY / 2);
+fn record_served(
+    last_served: &mut HashMap<(u64, u64), Instant>,
+    object_and_endpoint: (u64, u64),
+    now: Instant,
+) {
+    if last_served.len() >= MAX_CACHED_OBJECTS {
+        last_served.retain(|_, at| now.saturating_duration_since(*at) <= CACHE_RETENTION / 2);
     }
-    if objects.len() < MOST_OBJECTS {
-        objects.insert(entry, now);
+    if last_served.len() < MAX_CACHED_OBJECTS {
+        last_served.insert(object_and_endpoint, now);
     }
 }
 
-/// When a refused caller should come back: after half of the wait, spread so
-/// that those who were refused together do not return together.
-fn come_back(wait: f64, spread: u64) -> Duration {
-    let (shortest, longest) = RETRY_AFTER;
+/// Returns the delay after which a refused caller should retry: half of the
+/// expected wait in seconds, plus a spread derived from the hash `spread`, so
+/// that callers that were refused together do not return together.
+fn retry_after(wait: f64, spread: u64) -> Duration {
+    let (base, longest) = RETRY_AFTER;
     let wait = Duration::from_secs_f64((wait / 2.0).clamp(0.0, longest.as_secs_f64()));
-    let spread = shortest.mul_f64(unit_interval(score(spread, 1)));
-    (wait + shortest / 2 + spread).min(longest)
+    let spread = base.mul_f64(unit_interval(score(spread, 1)));
+    (wait + base / 2 + spread).min(longest)
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -1,169 +1,198 @@
-//! The endpoints for a request, in the order in which they suit it.
+//! Ranks the endpoints for a request and estimates the cost of each.
 
 use std::time::Instant;
 
 use super::endpoint_state::EndpointState;
 use super::request::PickRequest;
-use super::service_state::{Choice, ServiceState};
+use super::service_state::{Candidate, ServiceState};
 use super::{Balancer, RANK_COST};
 use crate::names::RegionName;
 use crate::steering::placement::{endpoint_hash, score};
 
-/// Endpoints of which a new object gets the one with the fewest objects. More
-/// spread objects more evenly, fewer let VMs agree that were not told.
-const HOME_CHOICES: usize = 3;
+/// Number of top-ranked endpoints among which a new object goes to the one with
+/// the lowest load. More of them spread objects more evenly; with fewer, VMs
+/// agree more often before they have received each other's affinities.
+const NEW_OBJECT_CANDIDATES: usize = 3;
 
-/// Objects that an endpoint may have more than another of the same size before
-/// a new object goes to the other one. It keeps to the ranking otherwise.
-const HOME_MARGIN: f64 = 1.0;
+/// Extra objects counted for endpoints other than the top-ranked one when a new
+/// object is placed. Of endpoints of the same size, the top-ranked one may thus
+/// have this many more objects before the new one goes elsewhere.
+const NEW_OBJECT_MARGIN: f64 = 1.0;
 
-/// What it costs to have another endpoint handle an object that it does not
-/// remember, in parts of the time that a repeat saves. The endpoint forgets
-/// another object for it, whose next request is slow.
-const DISPLACEMENT: f64 = 0.6;
+/// Extra cost of a cache miss at an endpoint other than the preferred one, as a
+/// fraction of the time that a hit saves. The endpoint evicts another object
+/// for it, whose next request is then slow.
+const EVICTION_COST: f64 = 0.6;
 
-/// Length in bytes of a body that stays in the caller's region more often than
-/// others do, because links between regions are thin.
-const LARGE_BODY: u64 = 16 * 1024;
+/// Bodies of at least this length in bytes stay in the caller's region more
+/// often than others, because the bandwidth between regions is low.
+const LARGE_BODY_BYTES: u64 = 16 * 1024;
 
-/// Large bodies that stay in a region, in multiples of its even part. With more
-/// of them its endpoints refuse, and the bodies cross the link after all.
-const LARGE_BODIES_KEPT: f64 = 2.0;
+/// How many times the usual fraction of requests with large bodies stays in the
+/// caller's region. With a higher value its endpoints refuse some of them, and
+/// their bodies are sent to another region after all.
+const LARGE_BODY_LOCAL_BIAS: f64 = 2.0;
 
-/// Time that a failure costs a request that may be sent again, in seconds.
+/// Cost of a failure in seconds for a request that may be retried.
 const FAILURE_COST_IDEMPOTENT: f64 = 0.8;
 
-/// Time that a failure costs a request that is lost with it, in seconds.
+/// Cost of a failure in seconds for a request that must not be retried and so
+/// fails with it.
 const FAILURE_COST_NON_IDEMPOTENT: f64 = 4.0;
 
 impl Balancer {
-    /// Indexes of the endpoints that may take the request, best first.
-    pub(super) fn order(
+    /// Returns the indexes of the endpoints that may handle the request. The
+    /// preferred endpoint is the first; the others follow by region, those of
+    /// the object's region first, and by score.
+    pub(super) fn rank_endpoints(
         &self,
         service: &ServiceState,
         request: &PickRequest<'_>,
         now: Instant,
     ) -> Vec<usize> {
-        let region = self.region_of(service, request);
-        let mut near = Vec::with_capacity(service.endpoints.len());
-        let mut far = Vec::new();
+        let region = self.placement_region(service, request);
+        let mut same_region = Vec::with_capacity(service.endpoints.len());
+        let mut other_regions = Vec::new();
         for (index, state) in service.endpoints.values().enumerate() {
-            if !self.may_take(state, request) {
+            if !self.is_eligible(state, request) {
                 continue;
             }
             let entry = (std::cmp::Reverse(score(request.object, state.hash)), index);
             if state.region == *region {
-                near.push(entry);
+                same_region.push(entry);
             } else {
-                far.push(entry);
+                other_regions.push(entry);
             }
         }
-        near.sort_unstable();
-        far.sort_unstable();
-        near.append(&mut far);
-        let mut order: Vec<usize> = near.into_iter().map(|(_, index)| index).collect();
+        same_region.sort_unstable();
+        other_regions.sort_unstable();
+        same_region.append(&mut other_regions);
+        let mut ranking: Vec<usize> = same_region.into_iter().map(|(_, index)| index).collect();
         if request.sticky
-            && let Some(place) = self.home(service, request, &order, now)
+            && let Some(position) = self.preferred_position(service, request, &ranking, now)
         {
-            order[..=place].rotate_right(1);
+            ranking[..=position].rotate_right(1);
         }
-        order
+        ranking
     }
 
-    /// The region that new objects go to.
-    fn region_of<'a>(
+    /// Returns the region that the request's object is placed in while it has no
+    /// affinity.
+    fn placement_region<'a>(
         &'a self,
         service: &'a ServiceState,
         request: &PickRequest<'_>,
     ) -> &'a RegionName {
-        let kept = if request.body_bytes >= LARGE_BODY {
-            LARGE_BODIES_KEPT
+        let local_bias = if request.body_bytes >= LARGE_BODY_BYTES {
+            LARGE_BODY_LOCAL_BIAS
         } else {
             1.0
         };
-        let region = service.split.region(&self.cfg.region, request.object, kept);
+        let region = service
+            .region_split
+            .region(&self.cfg.region, request.object, local_bias);
         region.unwrap_or(&self.cfg.region)
     }
 
-    /// An endpoint for a request whose home, the first of `order`, cannot take
-    /// it in time, or not at all.
-    pub(super) fn elsewhere(
+    /// Returns an endpoint for a request that the preferred one, the first of
+    /// `ranking`, cannot handle in time or not at all.
+    pub(super) fn pick_fallback(
         &self,
         service: &ServiceState,
         request: &PickRequest<'_>,
-        order: &[usize],
+        ranking: &[usize],
         now: Instant,
-    ) -> Option<Choice> {
-        let (home, rest) = order.split_first()?;
-        let home = &service.endpoints[*home];
-        if !home.is_open(now) {
-            let choice = self.best(service, request, rest, 1, now);
-            return choice.filter(|choice| service.permits(request, choice, now));
+    ) -> Option<Candidate> {
+        let (preferred, others) = ranking.split_first()?;
+        let preferred = &service.endpoints[*preferred];
+        if !preferred.is_available(now) {
+            let candidate = self.cheapest(service, request, others, 1, now);
+            return candidate.filter(|candidate| service.permits(request, candidate, now));
         }
-        // Elsewhere the object pushes others out, so it goes there only where
-        // it does not wait as well.
-        let fits = |choice: &Choice| choice.wait <= 0.0 && service.permits(request, choice, now);
-        let (same, other): (Vec<usize>, Vec<usize>) = rest
+        // The object evicts others from the cache of another endpoint, so it
+        // goes only to one that has a free slot.
+        let has_free_slot = |candidate: &Candidate| {
+            candidate.wait <= 0.0 && service.permits(request, candidate, now)
+        };
+        let (same_region, other_regions): (Vec<usize>, Vec<usize>) = others
             .iter()
-            .partition(|index| service.endpoints[**index].region == home.region);
-        self.best(service, request, &same, 1, now)
-            .filter(fits)
-            .or_else(|| self.best(service, request, &other, 1, now).filter(fits))
+            .partition(|index| service.endpoints[**index].region == preferred.region);
+        self.cheapest(service, request, &same_region, 1, now)
+            .filter(has_free_slot)
+            .or_else(|| {
+                self.cheapest(service, request, &other_regions, 1, now)
+                    .filter(has_free_slot)
+            })
     }
 
-    /// The place in the ranking of the endpoint that handles the object, or
-    /// that a new object should go to.
-    fn home(
+    /// Returns the position in the ranking of the endpoint with the object's
+    /// affinity or, for an object without one, of the endpoint that it should go
+    /// to.
+    fn preferred_position(
         &self,
         service: &ServiceState,
         request: &PickRequest<'_>,
-        order: &[usize],
+        ranking: &[usize],
         now: Instant,
     ) -> Option<usize> {
-        let state = |place: usize| &service.endpoints[order[place]];
-        if let Some(home) = self.homes.get(self.home_key(service, request))
-            && let Some(place) = (0..order.len()).find(|place| state(*place).hash == home)
+        let state = |position: usize| &service.endpoints[ranking[position]];
+        if let Some(endpoint) = self.affinities.get(self.affinity_key(service, request))
+            && let Some(position) =
+                (0..ranking.len()).find(|position| state(*position).hash == endpoint)
         {
-            return Some(place);
+            return Some(position);
         }
-        let region = order
+        let region = ranking
             .first()
             .map(|index| &service.endpoints[*index].region)?;
-        let burden = |place: usize| {
-            let state = state(place);
-            let objects = f64::from(self.homes.object_count(state.hash)) + state.load(now);
-            let margin = if place == 0 { 0.0 } else { HOME_MARGIN };
+        let relative_load = |position: usize| {
+            let state = state(position);
+            let objects = f64::from(self.affinities.object_count(state.hash)) + state.load(now);
+            let margin = if position == 0 {
+                0.0
+            } else {
+                NEW_OBJECT_MARGIN
+            };
             (objects + margin) / f64::from(state.endpoint.slots)
         };
-        (0..order.len().min(HOME_CHOICES))
-            .filter(|place| state(*place).region == *region && state(*place).is_open(now))
-            .min_by(|a, b| burden(*a).total_cmp(&burden(*b)))
+        (0..ranking.len().min(NEW_OBJECT_CANDIDATES))
+            .filter(|position| {
+                state(*position).region == *region && state(*position).is_available(now)
+            })
+            .min_by(|a, b| relative_load(*a).total_cmp(&relative_load(*b)))
     }
 
-    /// Under which number the home of the object is kept.
+    /// Returns the hash under which the affinity of the request's object is
+    /// stored.
     ///
-    /// Callers who are bound to regions have a home of their own where that of
-    /// the others is not allowed to them, so that they do not move it there.
-    pub(super) fn home_key(&self, service: &ServiceState, request: &PickRequest<'_>) -> u64 {
+    /// If a request may not run in the region of the object's affinity, the key
+    /// also covers the regions that it is restricted to. Such requests then have
+    /// a separate affinity and do not move that of all others.
+    pub(super) fn affinity_key(&self, service: &ServiceState, request: &PickRequest<'_>) -> u64 {
         let mut endpoints = service.endpoints.values();
         let region = self
-            .homes
+            .affinities
             .get(request.object)
-            .and_then(|home| endpoints.find(|state| state.hash == home))
-            .map_or_else(|| self.region_of(service, request), |state| &state.region);
+            .and_then(|endpoint| endpoints.find(|state| state.hash == endpoint))
+            .map_or_else(
+                || self.placement_region(service, request),
+                |state| &state.region,
+            );
         if request.allows(region) {
             return request.object;
         }
-        let bound = request
+        let allowed = request
             .allowed_regions
             .iter()
-            .flat_map(|homes| homes.iter());
-        bound.fold(request.object, |key, region| {
+            .flat_map(|regions| regions.iter());
+        allowed.fold(request.object, |key, region| {
             score(key, endpoint_hash(region.as_str()))
         })
     }
 
-    fn may_take(&self, state: &EndpointState, request: &PickRequest<'_>) -> bool {
+    /// Reports whether the endpoint may handle the request at all, regardless
+    /// of its load and of whether it can be reached.
+    fn is_eligible(&self, state: &EndpointState, request: &PickRequest<'_>) -> bool {
         !state.endpoint.draining
             && !state.mismatched
             && !self.evacuated.contains(&state.endpoint.failure_domain)
@@ -171,56 +200,62 @@
             && !request.tried.contains(&state.endpoint.key)
     }
 
-    pub(super) fn best(
+    /// Returns the candidate with the lowest cost among the endpoints in
+    /// `ranking`, the first of which has the rank `first_rank`.
+    pub(super) fn cheapest(
         &self,
         service: &ServiceState,
         request: &PickRequest<'_>,
-        order: &[usize],
+        ranking: &[usize],
         first_rank: usize,
         now: Instant,
-    ) -> Option<Choice> {
-        order
+    ) -> Option<Candidate> {
+        ranking
             .iter()
             .enumerate()
             .filter_map(|(rank, index)| {
-                self.choice(service, request, *index, first_rank + rank, now)
+                self.candidate(service, request, *index, first_rank + rank, now)
             })
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    fn choice(
+    /// Estimates the cost of sending the request to an endpoint. Returns `None`
+    /// if the endpoint is unavailable or full.
+    fn candidate(
         &self,
         service: &ServiceState,
         request: &PickRequest<'_>,
         index: usize,
         rank: usize,
         now: Instant,
-    ) -> Option<Choice> {
+    ) -> Option<Candidate> {
         let (_, state) = service.endpoints.get_index(index)?;
-        if !state.is_open(now) {
+        if !state.is_available(now) {
             return None;
         }
         let load = state.load(now);
         if load >= state.capacity {
             return None;
         }
-        let repeat = request.sticky && self.remembers(request.object, state.hash, now);
-        let slowness = state.faded(state.slowness, 1.0, now);
+        let object_cached = request.sticky && self.is_cached(request.object, state.hash, now);
+        let slowness = state.decayed(state.slowness, 1.0, now);
         let slots = f64::from(state.endpoint.slots);
-        let mean = service
-            .repeat_time(request)
-            .min(service.first_time(request));
-        let wait = (load + 1.0 - slots).max(0.0) / slots * mean * slowness;
-        let saved = service.first_time(request) - service.repeat_time(request);
-        let work = if repeat || !request.sticky {
-            service.repeat_time(request)
+        // A hit is expected to be at least as fast as a miss, so queued requests
+        // are assumed to take as long as a hit.
+        let queued = service
+            .expected_hit_latency(request)
+            .min(service.expected_miss_latency(request));
+        let wait = (load + 1.0 - slots).max(0.0) / slots * queued * slowness;
+        let saved = service.expected_miss_latency(request) - service.expected_hit_latency(request);
+        let work = if object_cached || !request.sticky {
+            service.expected_hit_latency(request)
         } else if rank == 0 {
-            service.first_time(request)
+            service.expected_miss_latency(request)
         } else {
-            service.first_time(request) + saved * DISPLACEMENT
+            service.expected_miss_latency(request) + saved * EVICTION_COST
         };
         let cold = if state.is_cold(now) { 2.0 } else { 1.0 };
-        let failures = state.faded(state.failures, 0.0, now);
+        let failures = state.decayed(state.failures, 0.0, now);
         let failure_cost = if request.idempotent {
             FAILURE_COST_IDEMPOTENT
         } else {
@@ -231,12 +266,12 @@
             + work * slowness * cold
             + failures * failure_cost
             + rank as f64 * RANK_COST;
-        Some(Choice {
+        Some(Candidate {
             index,
             rank,
             wait,
             cost,
-            repeat,
+            object_cached,
         })
     }
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -1,4 +1,4 @@
-//! What the balancer is asked, and what it answers.
+//! The input and the result of picking an endpoint.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,108 +9,113 @@
 /// A request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct PickRequest<'a> {
-    /// The service.
+    /// Service that is to handle it.
     pub service: &'a ServiceName,
-    /// Hash of the object, or any number for requests without one.
+    /// Hash of the object that it refers to. Any number will do for a request
+    /// without an object; it still selects the region and the ranking.
     pub object: u64,
-    /// An endpoint that handled the object recently is faster.
+    /// An endpoint that handled the object recently is faster, so requests for
+    /// the same object should go to the same endpoint.
     pub sticky: bool,
     /// The request may run more than once.
     pub idempotent: bool,
-    /// Regions in which it may run; empty allows all. All lists bind.
+    /// Regions in which it may run, as the route and the team restrict it. A
+    /// region must be in both lists; an empty list allows all regions.
     pub allowed_regions: [&'a [RegionName]; 2],
-    /// Endpoints that it was sent to already.
+    /// Endpoints that earlier attempts were sent to. They are not picked again.
     pub tried: &'a [EndpointKey],
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Time within which an answer is of full use.
+    /// Latency within which the route wants a response.
     pub target_latency: Duration,
-    /// Time until the caller gives up.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Length of its body, as far as known.
+    /// Length of its body, or the best known estimate.
     pub body_bytes: u64,
 }
 
 impl PickRequest<'_> {
-    /// The request may run in the region.
+    /// Reports whether the request may run in the region.
     pub(super) fn allows(&self, region: &RegionName) -> bool {
         let mut lists = self.allowed_regions.iter();
-        lists.all(|homes| homes.is_empty() || homes.contains(region))
+        lists.all(|regions| regions.is_empty() || regions.contains(region))
     }
 }
 
-/// What to do with a request.
+/// The result of picking an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Pick {
-    /// Send it.
+    /// Send the request to this endpoint.
     Send(Target),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(PickRefusal),
 }
 
-/// An endpoint that was picked for a request.
+/// An endpoint that was picked for a request, with the estimates at that time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// The service.
+    /// Service of the endpoint.
     pub service: ServiceName,
-    /// Which start of which endpoint.
+    /// Identifies the endpoint and the start of its process.
     pub key: EndpointKey,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of the endpoint.
     pub region: RegionName,
-    /// When the answer is expected.
+    /// Expected time from sending the request to its response.
     pub expected_latency: Duration,
-    /// Requests that it holds, as far as known.
+    /// Best known estimate of the requests at the endpoint before this one.
     pub load: f64,
-    /// Requests that it runs at the same time.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// It is assumed to remember the object.
+    /// The endpoint is assumed to have the object in its cache.
     pub object_cached: bool,
-    /// Place in the ranking of the endpoints for the object, from 0.
+    /// Position of the endpoint in the ranking for the object, from 0.
     pub rank: usize,
-    /// Age of its last load report.
+    /// Age of the endpoint's last load report; `None` before the first one.
     pub report_age: Option<Duration>,
 }
 
-/// Why no endpoint was picked.
+/// The reason why no endpoint was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickRefusal {
-    /// No endpoint of the service may take the request.
+    /// No endpoint of the service may handle the request.
     NoEndpoint,
-    /// No endpoint would answer in time. A caller may come back after the time.
+    /// No endpoint is expected to respond in time. The caller may retry after
+    /// this delay.
     Busy(Duration),
 }
 
-/// How a request at an endpoint ended.
+/// The outcome of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The endpoint responded.
     Answered {
-        /// Time from sending to the answer.
+        /// Time from sending the request to the response.
         latency: Duration,
-        /// The answer tells that the work failed.
+        /// The response is a server error.
         failed: bool,
     },
-    /// The endpoint said that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused,
-    /// Another endpoint has the address.
+    /// The address now belongs to another endpoint.
     Mismatched,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
     /// The connection failed after the request was sent.
     ConnectionLost,
-    /// No answer came in time.
+    /// No response arrived before the deadline.
     TimedOut,
-    /// The caller left, or another attempt was answered first.
+    /// The caller disconnected, another attempt was answered first, or the
+    /// request was never sent. It reveals nothing about the endpoint.
     Cancelled,
 }
 
-/// Requests that an endpoint reported.
+/// The load that an endpoint reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that it runs and that wait there.
+    /// Requests that run or wait at the endpoint.
     pub requests: u32,
-    /// Requests that it can run at the same time.
+    /// Number of requests that it runs concurrently. Zero is ignored.
     pub slots: u32,
 }
--- a/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
@@ -1,4 +1,4 @@
-//! What one VM knows of a service: its endpoints, and how long requests take.
+//! One VM's view of a service: its endpoints and the latency of its requests.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -14,136 +14,165 @@
 use crate::steering::placement::RegionSplit;
 use crate::steering::retry::RetryBudget;
 
-/// Step of a latency quantile for one sample, in parts of its value.
+/// Step by which one sample changes a latency quantile, as a fraction of its
+/// value.
 const QUANTILE_STEP: f64 = 0.05;
 
-/// Quantile of first requests for an object that counts as the time of one.
-/// Some of them meet an object that other VMs sent, and are fast.
-const FIRST_QUANTILE: f64 = 0.75;
+/// Quantile of the latencies of expected cache misses that is used as the
+/// latency of a miss. Some of these requests are fast, because requests of other
+/// VMs have already brought the object into the endpoint's cache.
+const MISS_QUANTILE: f64 = 0.75;
 
-/// Quantile of repeated requests that counts as the time of one. Some of them
-/// meet an endpoint that has forgotten the object, and are slow.
-const REPEAT_QUANTILE: f64 = 0.4;
+/// Quantile of the latencies of expected cache hits that is used as the latency
+/// of a hit. Some of these requests are slow, because the endpoint has already
+/// evicted the object.
+const HIT_QUANTILE: f64 = 0.4;
 
-/// Times of a first request for an object and of a repeated one, in parts of
-/// the target latency, before they are measured.
-const FIRST_GUESS: f64 = 1.2;
-const REPEAT_GUESS: f64 = 0.5;
+/// Assumed latency of a cache miss before one is measured, as a fraction of the
+/// target latency.
+const DEFAULT_MISS_LATENCY: f64 = 1.2;
 
-/// Part of the time left that a guess may take.
-const GUESS_USED: f64 = 0.5;
+/// Assumed latency of a cache hit before one is measured, as a fraction of the
+/// target latency.
+const DEFAULT_HIT_LATENCY: f64 = 0.5;
 
-/// Part of the target latency that a less urgent request may wait for a slot
-/// while more urgent requests use the same service.
+/// Largest fraction of the time left that an assumed latency may take.
+const MAX_DEFAULT_LATENCY: f64 = 0.5;
+
+/// Longest wait for a slot of a less urgent request while more urgent requests
+/// use the same service, as a fraction of the target latency.
 const LESS_URGENT_WAIT: f64 = 0.5;
 
-/// How long a more urgent request keeps the less urgent ones back.
-const URGENT_MEMORY: Duration = Duration::from_secs(2);
+/// How long after a more urgent request the wait of less urgent ones is limited.
+const URGENT_WINDOW: Duration = Duration::from_secs(2);
 
-/// Part of the time left that a request may be expected to take.
-pub(super) const TIME_USED: f64 = 0.95;
+/// Largest fraction of the time left that the expected latency of a request may
+/// take.
+pub(super) const TIME_LEFT_USED: f64 = 0.95;
 
-/// Part of the shift cap that requests may use which leave their region for
-/// want of a free slot. The rest covers homes that move.
-const SPILL_USED: f64 = 0.5;
+/// Fraction of the shift cap for requests that leave their region because there
+/// is no free slot. The rest covers affinities that move.
+const SPILL_CAP_USED: f64 = 0.5;
 
-/// Period over which a shift of requests between regions is limited.
+/// Period over which the shift of requests between regions is limited.
 const SPILL_PERIOD: Duration = Duration::from_secs(2);
 
-/// Requests that may leave a region beyond the cap.
+/// Requests that may leave their region in addition to the cap.
 const SPILL_ALLOWANCE: f64 = 3.0;
 
 #[derive(Debug)]
 pub(super) struct ServiceState {
     pub(super) endpoints: IndexMap<EndpointKey, EndpointState>,
-    pub(super) split: RegionSplit,
-    pub(super) budget: RetryBudget,
+    pub(super) region_split: RegionSplit,
+    pub(super) retry_budget: RetryBudget,
     pub(super) spill: SpillLimit,
-    /// Requests that left the region of their object's home.
-    pub(super) left: u64,
-    /// Time in seconds of a first request for an object at an endpoint.
-    pub(super) first: Option<f64>,
-    /// Time in seconds of a repeated one.
-    pub(super) repeat: Option<f64>,
-    /// Most urgent rank seen lately, and when.
-    pub(super) urgent: Option<(u32, Instant)>,
+    /// Number of requests that left the region of their preferred endpoint.
+    pub(super) spilled: u64,
+    /// Latency in seconds of a request whose object is not in the endpoint's
+    /// cache; `None` before one was measured.
+    pub(super) miss_latency: Option<f64>,
+    /// Latency in seconds of a request whose object is in the endpoint's cache;
+    /// `None` before one was measured.
+    pub(super) hit_latency: Option<f64>,
+    /// Priority of the most urgent recent request, and when it was last seen.
+    pub(super) most_urgent: Option<(u32, Instant)>,
 }
 
+/// An endpoint that a request could be sent to, with its estimated cost.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Choice {
+pub(super) struct Candidate {
+    /// Index of the endpoint in [`ServiceState::endpoints`].
     pub(super) index: usize,
+    /// Position in the ranking for the object, from 0.
     pub(super) rank: usize,
+    /// Expected wait for a free slot in seconds.
     pub(super) wait: f64,
+    /// Expected latency in seconds, plus the costs of failures and of the rank.
     pub(super) cost: f64,
-    pub(super) repeat: bool,
+    /// The endpoint is assumed to have the object in its cache.
+    pub(super) object_cached: bool,
 }
 
 impl ServiceState {
     pub(super) fn new(cfg: &BalancerConfig, now: Instant) -> Self {
         Self {
             endpoints: IndexMap::new(),
-            split: RegionSplit::default(),
-            budget: RetryBudget::new(cfg.retry),
+            region_split: RegionSplit::default(),
+            retry_budget: RetryBudget::new(cfg.retry),
             spill: SpillLimit::new(&spill_config(cfg), now),
-            left: 0,
-            first: None,
-            repeat: None,
-            urgent: None,
+            spilled: 0,
+            miss_latency: None,
+            hit_latency: None,
+            most_urgent: None,
         }
     }
 
-    pub(super) fn first_time(&self, request: &PickRequest<'_>) -> f64 {
-        let guess = guess(request, FIRST_GUESS);
-        self.first.unwrap_or(guess).max(self.repeat_time(request))
+    /// Returns the expected latency of a cache miss in seconds, which is never
+    /// shorter than that of a hit.
+    pub(super) fn expected_miss_latency(&self, request: &PickRequest<'_>) -> f64 {
+        let default = default_latency(request, DEFAULT_MISS_LATENCY);
+        self.miss_latency
+            .unwrap_or(default)
+            .max(self.expected_hit_latency(request))
     }
 
-    pub(super) fn repeat_time(&self, request: &PickRequest<'_>) -> f64 {
-        let guess = guess(request, REPEAT_GUESS);
-        self.repeat.unwrap_or(guess)
+    /// Returns the expected latency of a cache hit in seconds.
+    pub(super) fn expected_hit_latency(&self, request: &PickRequest<'_>) -> f64 {
+        let default = default_latency(request, DEFAULT_HIT_LATENCY);
+        self.hit_latency.unwrap_or(default)
     }
 
-    pub(super) fn learn(&mut self, target: &Target, latency: Duration) {
+    /// Updates the latency of hits or misses with a measured one.
+    pub(super) fn record_latency(&mut self, target: &Target, latency: Duration) {
         let slots = f64::from(target.slots);
         if target.load + 1.0 > slots {
-            // The time holds a wait for a slot.
+            // The latency includes a wait for a slot.
             return;
         }
-        let (quantile, part) = if target.object_cached {
-            (&mut self.repeat, REPEAT_QUANTILE)
+        let (estimate, quantile) = if target.object_cached {
+            (&mut self.hit_latency, HIT_QUANTILE)
         } else {
-            (&mut self.first, FIRST_QUANTILE)
+            (&mut self.miss_latency, MISS_QUANTILE)
         };
         let latency = latency.as_secs_f64();
-        let old = quantile.unwrap_or(latency);
+        let old = estimate.unwrap_or(latency);
         let up = latency > old;
-        let step = if up { part } else { part - 1.0 };
-        *quantile = Some(old * (1.0 + QUANTILE_STEP * step));
+        let step = if up { quantile } else { quantile - 1.0 };
+        *estimate = Some(old * (1.0 + QUANTILE_STEP * step));
     }
 
-    pub(super) fn note_priority(&mut self, priority: u32, now: Instant) {
-        let newer = match self.urgent {
+    pub(super) fn record_priority(&mut self, priority: u32, now: Instant) {
+        let replaces = match self.most_urgent {
             Some((urgent, at)) => {
-                priority <= urgent || now.saturating_duration_since(at) > URGENT_MEMORY
+                priority <= urgent || now.saturating_duration_since(at) > URGENT_WINDOW
             }
             None => true,
         };
-        if newer {
-            self.urgent = Some((priority, now));
+        if replaces {
+            self.most_urgent = Some((priority, now));
         }
     }
 
-    /// The choice may be taken: it answers in time, and a less urgent request
-    /// does not fill the queue that more urgent ones need.
-    pub(super) fn permits(&self, request: &PickRequest<'_>, choice: &Choice, now: Instant) -> bool {
-        if choice.cost > request.time_left.as_secs_f64() * TIME_USED {
+    /// Reports whether the request may be sent to the candidate: it must respond
+    /// in time, and a less urgent request must not fill the queue that more
+    /// urgent ones need.
+    pub(super) fn permits(
+        &self,
+        request: &PickRequest<'_>,
+        candidate: &Candidate,
+        now: Instant,
+    ) -> bool {
+        if candidate.cost > request.time_left.as_secs_f64() * TIME_LEFT_USED {
             return false;
         }
-        let urgent = self.urgent.is_some_and(|(urgent, at)| {
-            urgent < request.priority && now.saturating_duration_since(at) <= URGENT_MEMORY
+        let is_less_urgent = self.most_urgent.is_some_and(|(urgent, at)| {
+            urgent < request.priority && now.saturating_duration_since(at) <= URGENT_WINDOW
         });
-        !urgent || choice.wait <= request.target_latency.as_secs_f64() * LESS_URGENT_WAIT
+        !is_less_urgent || candidate.wait <= request.target_latency.as_secs_f64() * LESS_URGENT_WAIT
     }
 
+    /// Returns the total slots in a region, without endpoints that drain or
+    /// whose failure domain is evacuated.
     pub(super) fn slots_in(
         &self,
         region: &RegionName,
@@ -164,13 +193,14 @@
 pub(super) fn spill_config(cfg: &BalancerConfig) -> SpillConfig {
     SpillConfig {
         allowance: SPILL_ALLOWANCE,
-        ..SpillConfig::new(cfg.shift_cap * SPILL_USED, SPILL_PERIOD)
+        ..SpillConfig::new(cfg.shift_cap * SPILL_CAP_USED, SPILL_PERIOD)
     }
 }
 
-/// The time of a request before any was measured. A guess must not be what a
-/// request is refused for.
-pub(super) fn guess(request: &PickRequest<'_>, part: f64) -> f64 {
-    let most = request.time_left.as_secs_f64() * GUESS_USED;
-    (request.target_latency.as_secs_f64() * part).min(most)
+/// Returns the assumed latency in seconds of a request before any was measured:
+/// `fraction` of the target latency. It is limited to a fraction of the time
+/// left, because a request must not be refused for an assumed latency alone.
+pub(super) fn default_latency(request: &PickRequest<'_>, fraction: f64) -> f64 {
+    let limit = request.time_left.as_secs_f64() * MAX_DEFAULT_LATENCY;
+    (request.target_latency.as_secs_f64() * fraction).min(limit)
 }
