--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -107,7 +107,7 @@
     pub priority: Option<u32>,
     /// Rate in requests a second over all VMs; zero means no limit.
     pub rate: f64,
-    /// Number of requests that are admitted beyond the rate.
+    /// Number of requests that are admitted beyond the rate; zero means none.
     pub burst: f64,
     /// Regions in which its requests may run; empty allows all.
     pub home_regions: Vec<RegionName>,
--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! All decisions are functions of state and the time `now`, without clocks and
 //! sockets. VMs place requests alike without exchanging messages, because they
-//! rank endpoints by the same hash.
+//! rank endpoints by the same hash. Anything else that a VM knows about
+//! endpoints, it learns from its own requests.
 //!
 //! - [`deployment`] is the configuration in force.
 //! - [`endpoint`] and [`registry`] hold the registered endpoints.
--- a/crates/filbertgrade-coord/tests/steering/fleet.rs
+++ b/crates/filbertgrade-coord/tests/steering/fleet.rs
@@ -1,4 +1,4 @@
-//! Which VMs run, who follows the store, and where objects are.
+//! Which VMs run, which ones poll the store, and the affinity of objects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 
 use crate::scene::{domain, region, vm};
 
-fn member(name: &str, place: &str, port: u16) -> Member {
+fn member(name: &str, region_name: &str, port: u16) -> Member {
     Member {
         vm: vm(name),
         incarnation: u64::from(port),
         caller_address: SocketAddr::from(([10, 0, 0, 1], port)),
         peer_address: SocketAddr::from(([10, 0, 0, 2], port)),
-        region: region(place),
-        failure_domain: domain(&format!("{place}-a")),
+        region: region(region_name),
+        failure_domain: domain(&format!("{region_name}-a")),
     }
 }
 
-fn beat(member: &Member, ready: bool) -> Heartbeat {
+fn heartbeat(member: &Member, ready: bool) -> Heartbeat {
     Heartbeat {
         incarnation: member.incarnation,
         ready,
@@ -32,18 +32,18 @@
     addresses.iter().map(SocketAddr::port).collect()
 }
 
-/// Guards against answers to look-ups that name VMs which are down, leave or
-/// cannot serve, and against empty answers.
+/// Guards against look-ups that return VMs which are down, about to stop or not
+/// ready, and against empty responses.
 #[test]
-fn look_ups_name_vms_that_can_serve() {
+fn look_ups_return_vms_that_can_serve() {
     let start = Instant::now();
-    let (me, a, b, c) = (
-        member("me", "north", 1),
+    let (local, a, b, c) = (
+        member("local", "north", 1),
         member("a", "north", 2),
         member("b", "north", 3),
         member("c", "south", 4),
     );
-    let mut members = Members::new(me);
+    let mut members = Members::new(local);
     members.set_listed(vec![a.clone(), b.clone(), c.clone()], start);
     let north = region("north");
     assert_eq!(
@@ -51,114 +51,118 @@
         [2, 3, 1]
     );
     let now = start + HEARTBEAT_TIMEOUT + Duration::from_millis(1);
-    members.record_heartbeat(&a.vm, beat(&a, true), now);
+    members.record_heartbeat(&a.vm, heartbeat(&a, true), now);
     assert_eq!(
         ports(&members.lookup_addresses(Some(&north), true, now)),
         [2, 1],
-        "b is silent"
+        "b has timed out"
     );
-    members.record_heartbeat(&a.vm, beat(&a, false), now);
+    members.record_heartbeat(&a.vm, heartbeat(&a, false), now);
     assert_eq!(
         ports(&members.lookup_addresses(Some(&north), true, now)),
         [1],
         "a is not ready"
     );
-    members.record_heartbeat(&c.vm, beat(&c, true), now);
+    members.record_heartbeat(&c.vm, heartbeat(&c, true), now);
     assert_eq!(
         ports(&members.lookup_addresses(Some(&north), false, now)),
         [4],
-        "another region is ready"
+        "only another region has a ready VM"
     );
     let leaving = Heartbeat {
         leaving: true,
-        ..beat(&c, true)
+        ..heartbeat(&c, true)
     };
     members.record_heartbeat(&c.vm, leaving, now);
-    let named = ports(&members.lookup_addresses(Some(&north), false, now));
-    assert_eq!(named, [2], "a runs, though it is not ready");
-    let stale = Heartbeat {
+    let returned = ports(&members.lookup_addresses(Some(&north), false, now));
+    assert_eq!(returned, [2], "no VM is ready, and only a runs");
+    let other_incarnation = Heartbeat {
         incarnation: 99,
-        ..beat(&b, true)
+        ..heartbeat(&b, true)
     };
     assert!(
-        !members.record_heartbeat(&b.vm, stale, now),
-        "another start of b"
+        !members.record_heartbeat(&b.vm, other_incarnation, now),
+        "a heartbeat of another incarnation of b is ignored"
     );
-    let alone = Members::new(member("me", "north", 1));
+    let single = Members::new(member("local", "north", 1));
     assert_eq!(
-        ports(&alone.lookup_addresses(Some(&north), false, now)),
+        ports(&single.lookup_addresses(Some(&north), false, now)),
         [1]
     );
 }
 
-/// Guards against two followers of the store in a region, or none, and against
-/// a relay that has died.
+/// Guards against regions in which no VM or more than one polls the store, and
+/// against VMs that keep polling a relay which is down.
 #[test]
-fn one_running_vm_of_a_region_follows_the_store() {
+fn exactly_one_running_vm_of_a_region_polls_the_store() {
     let start = Instant::now();
     let all: Vec<Member> = (0..5)
         .map(|n| member(&format!("vm-{n}"), "north", n + 1))
         .collect();
-    let relay_of = |me: &Member, dead: Option<&Member>| {
-        let mut members = Members::new(me.clone());
+    let relay_of = |local: &Member, down: Option<&Member>| {
+        let mut members = Members::new(local.clone());
         members.set_listed(all.clone(), start);
-        for peer in all.iter().filter(|peer| Some(*peer) != dead) {
-            members.record_heartbeat(&peer.vm, beat(peer, true), start);
+        for peer in all.iter().filter(|peer| Some(*peer) != down) {
+            members.record_heartbeat(&peer.vm, heartbeat(peer, true), start);
         }
-        members.relay(start).unwrap_or(me.peer_address)
+        members.relay(start).unwrap_or(local.peer_address)
     };
     let relay = relay_of(&all[0], None);
-    assert!(all.iter().all(|me| relay_of(me, None) == relay));
-    let dead = all
+    assert!(all.iter().all(|vm| relay_of(vm, None) == relay));
+    let down = all
         .iter()
         .find(|member| member.peer_address == relay)
         .unwrap();
-    // The one that takes over asks the relay first, all others ask it second.
-    let second_of = |me: &Member| {
-        let mut members = Members::new(me.clone());
+    // The VM that takes over has the relay as its first choice, and is the second
+    // choice of all others.
+    let second_relay_of = |local: &Member| {
+        let mut members = Members::new(local.clone());
         members.set_listed(all.clone(), start);
         for peer in &all {
-            members.record_heartbeat(&peer.vm, beat(peer, true), start);
+            members.record_heartbeat(&peer.vm, heartbeat(peer, true), start);
         }
         members.relays(start).get(1).copied()
     };
-    let living: Vec<_> = all.iter().filter(|member| *member != dead).collect();
-    let next = relay_of(living[0], Some(dead));
+    let running: Vec<_> = all.iter().filter(|member| *member != down).collect();
+    let next = relay_of(running[0], Some(down));
     assert_ne!(next, relay);
-    assert!(living.iter().all(|me| relay_of(me, Some(dead)) == next));
+    assert!(running.iter().all(|vm| relay_of(vm, Some(down)) == next));
     assert!(
-        living
+        running
             .iter()
-            .all(|me| second_of(me).unwrap_or(me.peer_address) == next)
+            .all(|vm| second_relay_of(vm).unwrap_or(vm.peer_address) == next)
     );
 }
 
-/// Guards against a VM that has to tell all others of a large region what has
-/// changed, and against VMs that are not reached.
+/// Guards against one VM that has to send each change to all others of a large
+/// region, and against VMs that no relay serves.
 #[test]
-fn relays_of_a_large_region_share_its_questions() {
+fn relays_of_a_large_region_share_the_load() {
     let start = Instant::now();
     let all: Vec<Member> = (0..175)
         .map(|n| member(&format!("vm-{n}"), "north", n + 1))
         .collect();
-    let mut asked: HashMap<SocketAddr, usize> = HashMap::new();
+    let mut child_counts: HashMap<SocketAddr, usize> = HashMap::new();
     let mut parents: HashMap<SocketAddr, SocketAddr> = HashMap::new();
-    for me in &all {
-        let mut members = Members::new(me.clone());
+    for local in &all {
+        let mut members = Members::new(local.clone());
         members.set_listed(all.clone(), start);
         for peer in &all {
-            members.record_heartbeat(&peer.vm, beat(peer, true), start);
+            members.record_heartbeat(&peer.vm, heartbeat(peer, true), start);
         }
         if let Some(parent) = members.relay(start) {
-            *asked.entry(parent).or_default() += 1;
-            parents.insert(me.peer_address, parent);
+            *child_counts.entry(parent).or_default() += 1;
+            parents.insert(local.peer_address, parent);
         }
     }
-    assert_eq!(parents.len(), 174, "one VM follows the store");
-    assert!(asked.values().all(|count| *count <= 10), "{asked:?}");
-    for me in &all {
+    assert_eq!(parents.len(), 174, "only one VM polls the store");
+    assert!(
+        child_counts.values().all(|count| *count <= 10),
+        "{child_counts:?}"
+    );
+    for local in &all {
         let mut steps = 0;
-        let mut at = me.peer_address;
+        let mut at = local.peer_address;
         while let Some(parent) = parents.get(&at) {
             at = *parent;
             steps += 1;
@@ -167,41 +171,42 @@
     }
 }
 
-/// Guards against VMs of another region that count as down while one of them
-/// speaks for all.
+/// Guards against VMs of another region that are considered down although the
+/// summary of their region lists them.
 #[test]
-fn state_of_another_region_comes_from_one_of_its_vms() {
+fn region_summary_replaces_heartbeats_of_its_vms() {
     let start = Instant::now();
     let c = member("c", "south", 4);
     let d = member("d", "south", 5);
-    let mut members = Members::new(member("me", "north", 1));
+    let mut members = Members::new(member("local", "north", 1));
     members.set_listed(vec![c.clone(), d.clone()], start);
     let now = start + HEARTBEAT_TIMEOUT * 2;
-    assert_eq!(members.running(now), [vm("me")]);
-    let state = HashMap::from([(c.vm.clone(), true)]);
-    members.record_region_summary(&region("south"), &state, now);
-    assert_eq!(members.running(now), [vm("c"), vm("me")]);
+    assert_eq!(members.running(now), [vm("local")]);
+    let summary = HashMap::from([(c.vm.clone(), true)]);
+    members.record_region_summary(&region("south"), &summary, now);
+    assert_eq!(members.running(now), [vm("c"), vm("local")]);
 }
 
-/// Guards against VMs that keep different homes of one object for good, after
-/// both gave it one at the same time, and against an older change that wins.
+/// Guards against VMs that keep different affinities for one object after both
+/// assigned one at the same time, and against an older version that replaces a
+/// newer one.
 #[test]
-fn homes_converge_whatever_the_order_of_messages() {
+fn affinities_converge_in_any_order_of_updates() {
     let now = Instant::now();
     let (mut a, mut b) = (AffinityTable::default(), AffinityTable::default());
     a.record_use(1, 100, now);
     b.record_use(1, 200, now);
     let (from_a, from_b) = (a.take_pending_updates(10), b.take_pending_updates(10));
-    for home in from_b {
-        a.apply_update(home, now);
+    for update in from_b {
+        a.apply_update(update, now);
     }
-    for home in from_a {
-        b.apply_update(home, now);
+    for update in from_a {
+        b.apply_update(update, now);
     }
     assert_eq!(a.get(1), b.get(1));
     a.record_use(1, 300, now);
-    for home in a.take_pending_updates(10) {
-        b.apply_update(home, now);
+    for update in a.take_pending_updates(10) {
+        b.apply_update(update, now);
     }
     assert_eq!(b.get(1), Some(300));
     b.apply_update(
@@ -216,21 +221,21 @@
     assert_eq!(b.get(1), Some(300));
 }
 
-/// Guards against objects that were asked for once and count for good.
+/// Guards against objects that stay assigned forever after a single request.
 #[test]
-fn objects_count_while_they_are_asked_for() {
+fn affinity_of_an_object_without_further_requests_expires() {
     let start = Instant::now();
-    let mut homes = AffinityTable::default();
-    homes.record_use(1, 100, start);
-    homes.record_use(2, 100, start);
-    homes.record_use(2, 100, start);
-    assert_eq!(homes.object_count(100), 2);
+    let mut table = AffinityTable::default();
+    table.record_use(1, 100, start);
+    table.record_use(2, 100, start);
+    table.record_use(2, 100, start);
+    assert_eq!(table.object_count(100), 2);
     let later = start + Duration::from_secs(5);
-    homes.record_use(3, 200, later);
+    table.record_use(3, 200, later);
     assert_eq!(
-        homes.object_count(100),
+        table.object_count(100),
         1,
-        "only the object that came again counts"
+        "only the object with a second request is still counted"
     );
-    assert_eq!(homes.snapshot(later).len(), 1);
+    assert_eq!(table.snapshot(later).len(), 1);
 }
--- a/crates/filbertgrade-coord/tests/steering/registry.rs
+++ b/crates/filbertgrade-coord/tests/steering/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoints that come, leave, lapse and come back.
+//! Endpoints that register, leave, expire and register again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,10 +23,11 @@
     ids
 }
 
-/// Guards against a service that is emptied because the store was away, and
-/// against endpoints that stay after they have left.
+/// Guards against a service that loses its endpoints because registrations
+/// expired in an outage of the store, and against endpoints that are kept after
+/// they have left.
 #[test]
-fn lapsed_registrations_may_come_back_for_a_while() {
+fn endpoints_are_kept_after_an_outage_until_the_grace_ends() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply(
@@ -35,28 +36,28 @@
         start,
         None,
     );
-    let back = start + Duration::from_secs(10);
+    let outage_end = start + Duration::from_secs(10);
     let changes = [removed("a"), removed("b"), removed("c")];
-    registry.apply(changes, 9, back, Some(back));
+    registry.apply(changes, 9, outage_end, Some(outage_end));
     assert_eq!(
         ids(&registry),
         ["a", "b"],
-        "an endpoint that said that it leaves is gone"
+        "the draining endpoint is not kept"
     );
     registry.apply(
         [written("a", false)],
         10,
-        back + Duration::from_millis(500),
-        Some(back),
+        outage_end + Duration::from_millis(500),
+        Some(outage_end),
     );
-    registry.expire(back + REREGISTRATION_GRACE);
+    registry.expire(outage_end + REREGISTRATION_GRACE);
     assert_eq!(ids(&registry), ["a"]);
 }
 
 /// Guards against endpoints that get requests for 2 s after they have left,
-/// because this VM alone had lost the store.
+/// because only this VM had lost the store.
 #[test]
-fn lapsed_registrations_go_at_once_when_the_store_was_not_away() {
+fn kept_endpoints_are_removed_when_the_outage_was_local() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply([written("a", false)], 5, start, None);
@@ -66,21 +67,23 @@
     assert!(ids(&registry).is_empty());
 }
 
-/// Guards against a removal at a quiet time that takes effect late.
+/// Guards against a removal that is delayed although the last outage of the store
+/// ended longer ago than the grace.
 #[test]
-fn removal_takes_effect_at_once_without_an_outage() {
+fn removal_takes_effect_immediately_without_a_recent_outage() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply([written("a", false)], 5, start, None);
-    let long_ago = start + Duration::from_secs(1);
-    let now = long_ago + REREGISTRATION_GRACE;
-    registry.apply([removed("a")], 6, now, Some(long_ago));
+    let outage_end = start + Duration::from_secs(1);
+    let now = outage_end + REREGISTRATION_GRACE;
+    registry.apply([removed("a")], 6, now, Some(outage_end));
     assert!(ids(&registry).is_empty());
 }
 
-/// Guards against state that goes back, and registrations of other writers.
+/// Guards against an older list that replaces newer state, and against an endpoint
+/// that is kept after its registration became unreadable.
 #[test]
-fn older_lists_and_unreadable_entries_name_nothing() {
+fn older_lists_are_ignored_and_unreadable_registrations_removed() {
     let start = Instant::now();
     let mut registry = Registry::default();
     registry.apply([written("a", false)], 5, start, None);
