--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -25,7 +25,7 @@
 use self::division::RemoteDemand;
 use self::holder::HolderState;
 use self::requester::RequesterState;
-use crate::bucket::{Part, TokenBucket};
+use crate::bucket::{RateShare, TokenBucket};
 use crate::names::{RegionName, TeamName, VmName};
 use crate::rendezvous;
 
@@ -385,12 +385,9 @@
             .saturating_add(request.arrivals);
         if request.wait.is_none() {
             // A bucket under one token could never admit a request.
-            let part = Part::new(quota.limit.rate / vms, 1.0);
-            quota
-                .requester_state
-                .fallback
-                .set_part(part.unwrap_or(Part::ZERO), now);
-            if quota.requester_state.fallback.try_take(now) {
+let part=RateShare::new(quota.limit.rate/vms,1.0);
+quota.requester_state.fallback.set_share(part.unwrap_or(RateShare::ZERO),now);
+if quota.requester_state.fallback.try_take(now){
                 return Admission::Admitted;
             }
         }
@@ -499,15 +496,19 @@
         let rate = self.limit.rate * share;
         // A bucket under one token could never admit a request.
         let burst = ((self.limit.burst + allowance) * share).max(1.0);
-        let part = Part::new(rate, burst).unwrap_or(Part::ZERO);
-        holder.bucket.set_part(part, now);
+        let part = RateShare::new(rate, burst).unwrap_or(RateShare::ZERO);
+        holder.bucket.set_share(part, now);
     }
 }
 
 /// A bucket that starts with one token, so that the first request of a team
 /// with few requests is admitted.
 fn one_token_bucket(now: Instant) -> TokenBucket {
-    let mut bucket = TokenBucket::new(Part::ZERO, now);
-    bucket.add_part(Part::new(0.0, 1.0).unwrap_or(Part::ZERO), 1.0, now);
+    let mut bucket = TokenBucket::new(RateShare::ZERO, now);
+    bucket.add_share(
+        RateShare::new(0.0, 1.0).unwrap_or(RateShare::ZERO),
+        1.0,
+        now,
+    );
     bucket
 }
