--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -114,7 +114,7 @@
 #[derive(Debug)]
 pub struct Quotas {
     local_vm: VmName,
-    /// This VM is about to stop and is no holder any more.
+    /// This VM is about to stop and no longer a holder.
     leaving: bool,
     teams: HashMap<TeamName, TeamQuota>,
     remote: RemoteDemand,
@@ -220,14 +220,14 @@
         }
     }
 
-    /// Records that another VM of this region is about to stop. It is no holder
+    /// Records that another VM of this region is about to stop. It is no longer a holder
     /// from now on, but may still request tokens.
     pub fn mark_peer_leaving(&mut self, vm: &VmName) {
         self.remote.mark_peer_leaving(vm);
         self.candidates.refreshed_at = None;
     }
 
-    /// Records that this VM is about to stop. It is no holder from now on,
+    /// Records that this VM is about to stop. It is no longer a holder,
     /// unless no other VM of the region can be one.
     pub fn mark_leaving(&mut self) {
         self.leaving = true;
@@ -385,9 +385,12 @@
             .saturating_add(request.arrivals);
         if request.wait.is_none() {
             // A bucket under one token could never admit a request.
-let part=RateShare::new(quota.limit.rate/vms,1.0);
-quota.requester_state.fallback.set_share(part.unwrap_or(RateShare::ZERO),now);
-if quota.requester_state.fallback.try_take(now){
+            let rate_share = RateShare::new(quota.limit.rate / vms, 1.0);
+            quota
+                .requester_state
+                .fallback
+                .set_share(rate_share.unwrap_or(RateShare::ZERO), now);
+            if quota.requester_state.fallback.try_take(now) {
                 return Admission::Admitted;
             }
         }
@@ -496,8 +499,8 @@
         let rate = self.limit.rate * share;
         // A bucket under one token could never admit a request.
         let burst = ((self.limit.burst + allowance) * share).max(1.0);
-        let part = RateShare::new(rate, burst).unwrap_or(RateShare::ZERO);
-        holder.bucket.set_share(part, now);
+        let rate_share = RateShare::new(rate, burst).unwrap_or(RateShare::ZERO);
+        holder.bucket.set_share(rate_share, now);
     }
 }
 
