--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -220,15 +220,15 @@
         }
     }
 
-    /// Records that another VM of this region is about to stop. It is no longer a holder
-    /// from now on, but may still request tokens.
+    /// Records that another VM of this region is about to stop. It is no longer a
+    /// holder, but may still request tokens.
     pub fn mark_peer_leaving(&mut self, vm: &VmName) {
         self.remote.mark_peer_leaving(vm);
         self.candidates.refreshed_at = None;
     }
 
-    /// Records that this VM is about to stop. It is no longer a holder,
-    /// unless no other VM of the region can be one.
+    /// Records that this VM is about to stop. It is no longer a holder, unless
+    /// no other VM of the region can be one.
     pub fn mark_leaving(&mut self) {
         self.leaving = true;
         self.candidates.refreshed_at = None;
