--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -189,7 +189,8 @@
         let time = time.as_secs_f64();
         let known = self.round_trips.entry(region.clone()).or_insert(time);
         // A shorter time is adopted at once, because the shortest times reflect
-        // the distance. Longer ones also contain load and count little.
+        // the distance. Longer ones include delays caused by load, so they have
+        // little weight.
         *known = if time < *known {
             time
         } else {
@@ -402,8 +403,9 @@
         }
     }
 
-    /// Creates and removes the rate limits of cold endpoints. Existing limits are
-    /// kept, because a new one would start with another token.
+    /// Creates the rate limits of cold endpoints and removes those of endpoints
+    /// that are warm or that this VM must not send to. Existing limits keep
+    /// their tokens.
     fn update_cold_limits(&mut self, now: Instant) {
         for (name, service) in &mut self.services {
             let rate = self
--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -6,17 +6,19 @@
 //!
 //! - [`deployment`] is the configuration that operators have put in force.
 //! - [`endpoint`] and [`registry`] hold the endpoints that exist.
-//! - [`placement`] ranks the endpoints of a service for an object. It answers
-//!   the steady load, in which an endpoint that handled an object recently is
-//!   several times as fast.
-//! - [`affinity`] spreads objects evenly over the endpoints that rank highest.
-//! - [`balancer`] picks an endpoint from the ranking, or refuses. It answers
-//!   overload, slow and failing endpoints.
+//! - [`placement`] ranks the endpoints of a service for an object. It is
+//!   designed for the steady load, in which an endpoint that handled an object
+//!   recently is several times as fast.
+//! - [`affinity`] records which endpoint serves each object and spreads objects
+//!   evenly over the endpoints that rank highest.
+//! - [`balancer`] picks an endpoint from the ranking, or refuses the request. It
+//!   handles overload and endpoints that are slow or failing.
 //! - [`quota`] keeps a team within its rate over all VMs, and answers one team
 //!   that sends several times its rate.
-//! - [`retry`] bounds what repeats add to a service that is already failing.
-//! - [`cold_start`] bounds what an endpoint gets that has just started.
-//! - [`store_health`] tells how current the copy of the store is.
+//! - [`retry`] limits the retries to a service that is already failing.
+//! - [`cold_start`] limits the request rate of an endpoint that has just started.
+//! - [`store_health`] records how current the copy of the store is, and outages
+//!   of the store.
 //! - [`settings`] is what the platform tells a VM at its start.
 //! - [`members`] tells which VMs callers should be sent to.
 
--- a/crates/filbertgrade-coord/tests/steering/balancer.rs
+++ b/crates/filbertgrade-coord/tests/steering/balancer.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Tests of which endpoint the balancer picks for a request, and when it refuses.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -13,12 +13,12 @@
 
 use crate::scene::{balancer, domain, endpoint, pick_request, region, service, vm, with_endpoints};
 
-const NAMES: [&str; 3] = ["east", "north", "south"];
+const REGIONS: [&str; 3] = ["east", "north", "south"];
 
 fn send(balancer: &mut Balancer, object: u64, now: Instant) -> Target {
     match balancer.pick(&pick_request(&service(), object), now) {
         Pick::Send(target) => target,
-        Pick::Refuse(why) => panic!("refused: {why:?}"),
+        Pick::Refuse(refusal) => panic!("refused: {refusal:?}"),
     }
 }
 
@@ -29,29 +29,30 @@
     }
 }
 
-/// Guards against VMs that send an object to different endpoints, none of
-/// which then remembers it.
+/// Guards against VMs that send requests for the same object to different
+/// endpoints, so that each of them has to load it.
 #[test]
-fn vms_agree_on_a_place_without_a_message() {
+fn vms_pick_the_same_endpoint_without_communication() {
     let now = Instant::now();
     let list: Vec<_> = (0..8)
         .map(|n| endpoint(&format!("e{n}"), "north", 3))
         .collect();
     for object in 0..50 {
-        let mut a = with_endpoints(balancer("a", "north", &NAMES), &list, now);
-        let mut b = with_endpoints(balancer("b", "north", &NAMES), &list, now);
+        let mut a = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
+        let mut b = with_endpoints(balancer("b", "north", &REGIONS), &list, now);
         assert_eq!(send(&mut a, object, now).key, send(&mut b, object, now).key);
     }
 }
 
-/// Guards against endpoints with several times the objects of others.
+/// Guards against placing several times as many objects on one endpoint as on
+/// another.
 #[test]
-fn objects_are_spread_evenly() {
+fn objects_are_spread_evenly_over_endpoints() {
     let now = Instant::now();
     let list: Vec<_> = (0..8)
         .map(|n| endpoint(&format!("e{n}"), "north", 3))
         .collect();
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let mut counts: HashMap<EndpointKey, u32> = HashMap::new();
     for n in 0..40_u64 {
         let object = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -62,26 +63,30 @@
     let most = counts.values().max().unwrap();
     assert!(
         *most <= 10,
-        "an endpoint has {most} of 40 objects, an even part is 5"
+        "an endpoint has {most} of 40 objects; an even share is 5"
+    );
+    assert_eq!(
+        counts.len(),
+        8,
+        "some of the 8 endpoints have no object: {counts:?}"
     );
-    assert_eq!(counts.len(), 8, "endpoints without an object: {counts:?}");
 }
 
-/// Guards against a VM that puts an object elsewhere although another VM told
-/// where it is.
+/// Guards against a VM that places an object on another endpoint although it
+/// has received the object's affinity.
 #[test]
-fn place_that_another_vm_told_is_used() {
+fn affinity_received_from_another_vm_is_used() {
     let now = Instant::now();
     let list: Vec<_> = (0..8)
         .map(|n| endpoint(&format!("e{n}"), "north", 3))
         .collect();
-    let mut a = with_endpoints(balancer("a", "north", &NAMES), &list, now);
-    let mut b = with_endpoints(balancer("b", "north", &NAMES), &list, now);
+    let mut a = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
+    let mut b = with_endpoints(balancer("b", "north", &REGIONS), &list, now);
     for object in 100..140 {
         send(&mut a, object, now);
     }
-    let told = a.affinities().take_pending_updates(1_000);
-    b.apply_affinities(told, now);
+    let updates = a.affinities().take_pending_updates(1_000);
+    b.apply_affinities(updates, now);
     for object in 100..140 {
         let expected = a.affinities().get(object);
         send(&mut b, object, now);
@@ -89,22 +94,22 @@
     }
 }
 
-/// Guards against requests of callers who are bound to a region that take an
-/// object there for all others too.
+/// Guards against requests restricted to one region that move an object there
+/// for unrestricted callers too.
 #[test]
-fn callers_bound_to_a_region_do_not_move_the_object_of_others() {
+fn requests_restricted_to_a_region_do_not_move_the_affinity_of_others() {
     let now = Instant::now();
     let list: Vec<_> = (0..8)
         .map(|n| endpoint(&format!("e{n}"), ["north", "south"][n % 2], 3))
         .collect();
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let service = service();
     let south = [region("south")];
     for object in 0..40 {
-        let free = pick_request(&service, object);
-        let mut bound = pick_request(&service, object);
-        bound.allowed_regions = [&south, &[]];
-        let mut place = |req: &PickRequest<'_>| match balancer.pick(req, now) {
+        let unrestricted = pick_request(&service, object);
+        let mut restricted = pick_request(&service, object);
+        restricted.allowed_regions = [&south, &[]];
+        let mut send = |req: &PickRequest<'_>| match balancer.pick(req, now) {
             Pick::Send(target) => {
                 let outcome = Outcome::Answered {
                     latency: Duration::from_millis(200),
@@ -113,44 +118,45 @@
                 balancer.finish(&target, object, outcome, None, now);
                 target
             }
-            Pick::Refuse(refused) => panic!("{refused:?}"),
+            Pick::Refuse(refusal) => panic!("refused: {refusal:?}"),
         };
-        // Both orders, because either may be the first to meet the object.
+        // Both orders, because either kind of request may be the first for an
+        // object.
         let (first, second) = if object % 2 == 0 {
-            (place(&free), place(&bound))
+            (send(&unrestricted), send(&restricted))
         } else {
-            let bound = place(&bound);
-            (place(&free), bound)
+            let restricted = send(&restricted);
+            (send(&unrestricted), restricted)
         };
         assert_eq!(second.region, south[0]);
-        assert_eq!(first.region, place(&free).region);
-        let alone = place(&free);
-        assert_eq!(alone.key, first.key, "the object has moved");
-        assert_eq!(place(&bound).key, second.key);
+        assert_eq!(first.region, send(&unrestricted).region);
+        let again = send(&unrestricted);
+        assert_eq!(again.key, first.key, "the object has moved");
+        assert_eq!(send(&restricted).key, second.key);
     }
 }
 
-/// Guards against requests for endpoints that must get nothing.
+/// Guards against requests to endpoints that must not receive them.
 #[rstest]
 #[case::draining("draining")]
 #[case::evacuated("evacuated")]
-#[case::other_region("home")]
+#[case::other_region("other region")]
 #[case::mismatched("mismatched")]
 #[case::tried("tried")]
-fn endpoint_that_must_get_nothing_gets_nothing(#[case] why: &str) {
+fn ineligible_endpoint_receives_no_requests(#[case] reason: &str) {
     let now = Instant::now();
     let mut list = vec![endpoint("one", "north", 3), endpoint("two", "south", 3)];
-    list[0].draining = why == "draining";
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
-    if why == "evacuated" {
+    list[0].draining = reason == "draining";
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
+    if reason == "evacuated" {
         balancer.set_evacuated(HashSet::from([domain("north-a")]), now);
     }
     let south = [region("south")];
     let tried = [list[0].key.clone()];
     let service = service();
     let mut req = pick_request(&service, 1);
-    match why {
-        "home" => req.allowed_regions = [&south, &[]],
+    match reason {
+        "other region" => req.allowed_regions = [&south, &[]],
         "tried" => req.tried = &tried,
         "mismatched" => {
             let target = send(&mut balancer, 1, now);
@@ -162,27 +168,27 @@
     for _ in 0..5 {
         match balancer.pick(&req, now) {
             Pick::Send(target) => assert_eq!(target.key, list[1].key),
-            Pick::Refuse(refused) => panic!("{refused:?}"),
+            Pick::Refuse(refusal) => panic!("refused: {refusal:?}"),
         }
     }
 }
 
-/// Guards against callers who wait for a request that nobody can serve.
+/// Guards against callers that wait although no endpoint can serve the request.
 #[test]
 fn request_without_an_endpoint_is_refused_at_once() {
     let now = Instant::now();
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &[], now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &[], now);
     let pick = balancer.pick(&pick_request(&service(), 1), now);
     assert_eq!(pick, Pick::Refuse(PickRefusal::NoEndpoint));
 }
 
-/// Guards against queues whose requests all miss their deadline: what cannot be
-/// answered in time is refused, with a time to come back.
+/// Guards against queues in which every request misses its deadline. A request
+/// that cannot be answered in time is refused with a delay for the retry.
 #[test]
-fn overload_is_refused_before_deadlines_pass() {
+fn requests_that_cannot_meet_their_deadline_are_refused() {
     let now = Instant::now();
     let list = [endpoint("one", "north", 1)];
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let mut sent = 0;
     for object in 0..20 {
         match balancer.pick(&pick_request(&service(), object), now) {
@@ -191,51 +197,51 @@
                 sent += 1;
             }
             Pick::Refuse(PickRefusal::Busy(after)) => assert!(after > Duration::ZERO),
-            Pick::Refuse(why) => panic!("{why:?}"),
+            Pick::Refuse(refusal) => panic!("refused: {refusal:?}"),
         }
     }
     assert!((1..20).contains(&sent), "{sent} of 20 were sent");
 }
 
-/// Guards against an endpoint that cannot be reached and gets every request of
-/// its objects first.
+/// Guards against an unreachable endpoint that remains the first choice for the
+/// requests for its objects.
 #[test]
-fn unreachable_endpoint_rests_and_is_tried_again() {
+fn unreachable_endpoint_is_ejected_and_probed_after_a_backoff() {
     let now = Instant::now();
     let list = [endpoint("one", "north", 3), endpoint("two", "north", 3)];
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let first = send(&mut balancer, 7, now);
-    let rest = balancer
+    let backoff = balancer
         .finish(&first, 7, Outcome::Unreachable, None, now)
         .unwrap();
     assert_ne!(send(&mut balancer, 7, now).key, first.key);
-    let later = now + rest + Duration::from_millis(1);
-    let mut trials = 0;
+    let later = now + backoff + Duration::from_millis(1);
+    let mut probes = 0;
     for object in 0..20 {
         let target = send(&mut balancer, object, later);
         if target.key == first.key {
-            trials += 1;
+            probes += 1;
         } else {
             balancer.finish(&target, object, answered(200), None, later);
         }
     }
-    assert_eq!(trials, 1, "one trial at a time");
+    assert_eq!(probes, 1, "one probe at a time");
 }
 
-/// Guards against requests that go on to an endpoint that fails every second
-/// one while another one does not.
+/// Guards against sending requests to an endpoint that fails them all while
+/// another endpoint works.
 #[rstest]
 #[case::refuses(Outcome::Refused)]
-#[case::loses(Outcome::ConnectionLost)]
-#[case::fails(Outcome::Answered { latency: Duration::from_millis(50), failed: true })]
-fn failing_endpoint_loses_its_requests(#[case] outcome: Outcome) {
+#[case::loses_connection(Outcome::ConnectionLost)]
+#[case::answers_with_an_error(Outcome::Answered { latency: Duration::from_millis(50), failed: true })]
+fn failing_endpoint_receives_few_requests(#[case] outcome: Outcome) {
     let now = Instant::now();
     let list = [endpoint("one", "north", 3), endpoint("two", "north", 3)];
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
-    let bad = send(&mut balancer, 3, now);
-    balancer.finish(&bad, 3, outcome, None, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
+    let failing = send(&mut balancer, 3, now);
+    balancer.finish(&failing, 3, outcome, None, now);
     let mut time = now;
-    let mut to_bad = 0;
+    let mut to_failing = 0;
     let service = service();
     for _ in 0..40 {
         time += Duration::from_millis(50);
@@ -245,18 +251,21 @@
         let Pick::Send(target) = balancer.pick(&req, time) else {
             panic!("refused");
         };
-        let is_bad = target.key == bad.key;
-        to_bad += u32::from(is_bad);
-        let result = if is_bad { outcome } else { answered(200) };
+        let is_failing = target.key == failing.key;
+        to_failing += u32::from(is_failing);
+        let result = if is_failing { outcome } else { answered(200) };
         balancer.finish(&target, 3, result, None, time);
     }
-    assert!(to_bad <= 10, "{to_bad} of 40 went to the failing endpoint");
+    assert!(
+        to_failing <= 10,
+        "{to_failing} of 40 requests went to the failing endpoint"
+    );
 }
 
-/// Guards against a cold endpoint that gets its full share, from one VM or from
-/// several that do not talk to each other.
+/// Guards against a cold endpoint that receives its full share of the requests,
+/// from one VM or from several that do not communicate.
 #[test]
-fn cold_endpoint_gets_its_rate_from_all_vms_together() {
+fn request_rate_of_a_cold_endpoint_is_limited_over_all_vms() {
     let start = Instant::now();
     let mut cold = endpoint("new", "north", 3);
     cold.cold_for = Duration::from_secs(3);
@@ -264,7 +273,7 @@
     let vms: Vec<_> = names.iter().map(|name| vm(name)).collect();
     let mut sent = Vec::new();
     for name in &names {
-        let mut balancer = balancer(name, "north", &NAMES);
+        let mut balancer = balancer(name, "north", &REGIONS);
         balancer.set_vms(vms.clone(), start);
         let mut balancer = with_endpoints(balancer, &[cold.clone()], start);
         for step in 0..300 {
@@ -276,29 +285,31 @@
         }
     }
     sent.sort();
-    // The rate is 4 a second; users bear one and a half times that and 5 more.
+    // The configured rate is 4 requests a second. Users accept up to one and a
+    // half times that plus 5 in any second, so 12 requests must take longer.
     for window in sent.windows(12) {
         assert!(window[11] - window[0] > Duration::from_secs(1));
     }
     assert!(sent.len() >= 6, "only {} requests in 3 s", sent.len());
 }
 
-/// Guards against an endpoint of another region that takes over whenever the
-/// home has a short queue: at most a part of the requests may leave at once.
+/// Guards against sending most requests to another region as soon as the
+/// preferred endpoint has a short queue: the spill limit allows only a fraction
+/// of them to leave at once.
 #[test]
-fn few_requests_leave_their_region_for_want_of_slots() {
+fn few_requests_leave_their_region_when_slots_are_short() {
     let now = Instant::now();
-    let mut list = vec![endpoint("home", "north", 3)];
+    let mut list = vec![endpoint("near", "north", 3)];
     list.extend((0..8).map(|n| endpoint(&format!("far{n}"), "south", 30)));
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let service = service();
-    let homes = (0..40).map(|object| Affinity {
+    let affinities = (0..40).map(|object| Affinity {
         object,
-        endpoint: endpoint_hash("home"),
+        endpoint: endpoint_hash("near"),
         version: 1,
         confirmed: true,
     });
-    balancer.apply_affinities(homes.collect(), now);
+    balancer.apply_affinities(affinities.collect(), now);
     let mut left = 0;
     let mut refused = 0;
     for n in 0..100 {
@@ -315,12 +326,13 @@
     );
 }
 
-/// Guards against a load report that says nothing of requests sent since.
+/// Guards against sending new objects to an endpoint whose last load report
+/// shows that it is full.
 #[test]
-fn full_endpoint_is_not_chosen_for_a_new_object() {
+fn full_endpoint_is_not_picked_for_a_new_object() {
     let now = Instant::now();
     let list = [endpoint("one", "north", 3), endpoint("two", "north", 3)];
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let busy = send(&mut balancer, 5, now);
     let report = LoadReport {
         requests: 12,
@@ -332,13 +344,14 @@
     }
 }
 
-/// Guards against refusals for want of time that nobody has measured: a route
-/// whose timeout is close to its target latency got no request through.
+/// Guards against refusing requests because of an assumed latency before any was
+/// measured: a route whose timeout was close to its target latency never got a
+/// request through.
 #[test]
-fn first_request_is_sent_whatever_its_timeout() {
+fn first_request_is_sent_even_with_a_short_timeout() {
     let now = Instant::now();
     let list = [endpoint("one", "north", 3)];
-    let mut balancer = with_endpoints(balancer("a", "north", &NAMES), &list, now);
+    let mut balancer = with_endpoints(balancer("a", "north", &REGIONS), &list, now);
     let service = service();
     let mut req = pick_request(&service, 1);
     req.time_left = req.target_latency;
--- a/crates/filbertgrade-coord/tests/steering/load.rs
+++ b/crates/filbertgrade-coord/tests/steering/load.rs
@@ -1,5 +1,5 @@
-//! Replays of load: endpoints with few slots that remember few objects, and
-//! VMs that place requests with the real decisions, in simulated time.
+//! Simulations of load. Endpoints with few slots and small object caches receive
+//! requests that VMs place with the real balancer, in simulated time.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::path::PathBuf;
@@ -12,43 +12,54 @@
 
 use crate::scene::{balancer, endpoint, pick_request, service, with_endpoints};
 
-/// One load, as its file describes it.
+/// A load and the result that it must reach, as described by its file. All times
+/// are in seconds unless the name has another unit.
 #[derive(Deserialize)]
 struct Load {
     /// VMs and endpoints of each region.
-    regions: Vec<Place>,
+    regions: Vec<Region>,
+    /// Requests that an endpoint runs concurrently.
     slots: usize,
-    /// Requests that wait at an endpoint beside those that run.
+    /// Requests that an endpoint queues in addition; it refuses further ones.
     queue: usize,
-    /// Objects that an endpoint remembers.
-    remembers: usize,
-    /// Objects that callers of each region ask for.
+    /// Objects that fit into the cache of an endpoint.
+    #[serde(rename = "remembers")]
+    cache_size: usize,
+    /// Distinct objects that the callers in each region request.
     objects: u64,
-    /// Requests a second of all regions.
+    /// Requests a second from all regions together.
     rate: f64,
+    /// Length of the simulation.
     seconds: f64,
-    /// Requests are judged from then on.
-    judged_from: f64,
-    first_ms: u64,
-    repeat_ms: u64,
+    /// Only requests sent from this time on count in the result.
+    #[serde(rename = "judged_from")]
+    measured_from: f64,
+    /// Running time of a request whose object is not in the cache.
+    #[serde(rename = "first_ms")]
+    miss_ms: u64,
+    /// Running time of a request whose object is in the cache.
+    #[serde(rename = "repeat_ms")]
+    hit_ms: u64,
     target_ms: u64,
     timeout_ms: u64,
+    /// A time in which the rate is higher.
     #[serde(default)]
     burst: Option<Burst>,
-    /// Endpoints that take this many times as long.
+    /// Endpoints that take longer than the others.
     #[serde(default)]
     slow: Option<Slow>,
-    /// Endpoints that do not answer at all, by number.
-    #[serde(default)]
-    lost: Vec<usize>,
-    /// Least part of the requests that are answered within the target.
+    /// Indexes of endpoints that cannot be reached.
+    #[serde(default, rename = "lost")]
+    unreachable: Vec<usize>,
+    /// Minimum fraction of the requests that are answered within the target
+    /// latency.
     in_target: f64,
-    /// Least part that is answered before the timeout.
+    /// Minimum fraction of the requests that are answered before the timeout.
     answered: f64,
 }
 
 #[derive(Deserialize)]
-struct Place {
+struct Region {
     name: String,
     vms: usize,
     endpoints: usize,
@@ -58,54 +69,67 @@
 struct Burst {
     from: f64,
     to: f64,
-    times: f64,
+    /// Factor by which the rate is multiplied.
+    #[serde(rename = "times")]
+    factor: f64,
 }
 
 #[derive(Deserialize)]
 struct Slow {
+    /// The first endpoints, up to this number, are slow.
     count: usize,
-    times: u32,
+    /// Factor by which their running times are multiplied.
+    #[serde(rename = "times")]
+    factor: u32,
 }
 
-struct Server {
+struct SimulatedEndpoint {
     running: usize,
-    waiting: VecDeque<Waiting>,
-    /// Most recent last.
-    objects: VecDeque<u64>,
-    slow: u32,
-    lost: bool,
+    queue: VecDeque<Request>,
+    /// Objects in the cache, the most recently used last.
+    cache: VecDeque<u64>,
+    slow_factor: u32,
+    unreachable: bool,
 }
 
-struct Waiting {
+/// A request that was sent to an endpoint.
+struct Request {
+    /// Index of the VM that sent it.
     vm: usize,
     target: Target,
     object: u64,
-    sent: Duration,
+    sent_at: Duration,
 }
 
 enum Event {
-    Arrive,
-    Done(usize, Waiting),
-    /// A refusal or a failed connection reaches the VM.
-    Back(Waiting, Outcome),
-    Tell,
+    /// A caller sends a request to a VM.
+    Arrival,
+    /// The endpoint with this index has finished the request.
+    Completion(usize, Request),
+    /// The VM receives a refusal or its connection attempt fails.
+    Rejection(Request, Outcome),
+    /// The VMs exchange affinities.
+    AffinityExchange,
 }
 
-struct Model {
+struct Simulation {
     load: Load,
     start: Instant,
+    /// Index of each VM's region, and its balancer.
     vms: Vec<(usize, Balancer)>,
-    servers: Vec<Server>,
+    endpoints: Vec<SimulatedEndpoint>,
+    /// By time since the start; events at the same time keep their order.
     events: BTreeMap<(Duration, u64), Event>,
-    next: u64,
-    seed: u64,
-    judged: u32,
+    events_scheduled: u64,
+    random_state: u64,
+    /// Requests that count in the result.
+    measured: u32,
     in_target: u32,
     answered: u32,
     refused: u32,
 }
 
-impl Model {
+impl Simulation {
     fn new(load: Load) -> Self {
         let start = Instant::now();
         let names: Vec<&str> = load.regions.iter().map(|r| r.name.as_str()).collect();
@@ -121,71 +145,71 @@
             }
         }
         let mut vms = Vec::new();
-        for (place, region) in load.regions.iter().enumerate() {
+        for (region_index, region) in load.regions.iter().enumerate() {
             for n in 0..region.vms {
                 let name = format!("{}-{n}", region.name);
                 let vm = with_endpoints(balancer(&name, &region.name, &names), &endpoints, start);
-                vms.push((place, vm));
+                vms.push((region_index, vm));
             }
         }
         let slow = load
             .slow
             .as_ref()
-            .map_or((0, 1), |slow| (slow.count, slow.times));
-        let servers = (0..endpoints.len())
-            .map(|n| Server {
+            .map_or((0, 1), |slow| (slow.count, slow.factor));
+        let endpoints = (0..endpoints.len())
+            .map(|n| SimulatedEndpoint {
                 running: 0,
-                waiting: VecDeque::new(),
-                objects: VecDeque::new(),
-                slow: if n < slow.0 { slow.1 } else { 1 },
-                lost: load.lost.contains(&n),
+                queue: VecDeque::new(),
+                cache: VecDeque::new(),
+                slow_factor: if n < slow.0 { slow.1 } else { 1 },
+                unreachable: load.unreachable.contains(&n),
             })
             .collect();
-        let mut model = Self {
+        let mut simulation = Self {
             load,
             start,
             vms,
-            servers,
+            endpoints,
             events: BTreeMap::new(),
-            next: 0,
-            seed: 7,
-            judged: 0,
+            events_scheduled: 0,
+            random_state: 7,
+            measured: 0,
             in_target: 0,
             answered: 0,
             refused: 0,
         };
-        model.at(Duration::ZERO, Event::Arrive);
-        model.at(Duration::ZERO, Event::Tell);
-        model
+        simulation.schedule(Duration::ZERO, Event::Arrival);
+        simulation.schedule(Duration::ZERO, Event::AffinityExchange);
+        simulation
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
-        self.next += 1;
-        self.events.insert((time, self.next), event);
+    fn schedule(&mut self, time: Duration, event: Event) {
+        self.events_scheduled += 1;
+        self.events.insert((time, self.events_scheduled), event);
     }
 
-    /// A number in `0..1`.
+    /// Returns a pseudorandom number in `0..1`, the same sequence in every run.
     fn random(&mut self) -> f64 {
-        self.seed = object_hash("random", &self.seed.to_le_bytes());
-        (self.seed >> 11) as f64 / (1_u64 << 53) as f64
+        self.random_state = object_hash("random", &self.random_state.to_le_bytes());
+        (self.random_state >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     fn run(&mut self) {
         while let Some(((time, _), event)) = self.events.pop_first() {
             match event {
-                Event::Arrive => self.arrive(time),
-                Event::Done(server, waiting) => self.done(server, &waiting, time),
-                Event::Back(waiting, outcome) => {
+                Event::Arrival => self.receive_request(time),
+                Event::Completion(index, request) => self.complete(index, &request, time),
+                Event::Rejection(request, outcome) => {
                     let now = self.start + time;
-                    let vm = &mut self.vms[waiting.vm].1;
-                    vm.finish(&waiting.target, waiting.object, outcome, None, now);
+                    let vm = &mut self.vms[request.vm].1;
+                    vm.finish(&request.target, request.object, outcome, None, now);
                 }
-                Event::Tell => self.tell(time),
+                Event::AffinityExchange => self.exchange_affinities(time),
             }
         }
     }
 
-    fn arrive(&mut self, time: Duration) {
+    fn receive_request(&mut self, time: Duration) {
         if time.as_secs_f64() > self.load.seconds {
             return;
         }
@@ -195,19 +219,19 @@
             .burst
             .as_ref()
             .filter(|b| (b.from..b.to).contains(&seconds));
-        let rate = self.load.rate * burst.map_or(1.0, |burst| burst.times);
+        let rate = self.load.rate * burst.map_or(1.0, |burst| burst.factor);
         let pause = -(1.0 - self.random()).ln() / rate;
-        self.at(time + Duration::from_secs_f64(pause), Event::Arrive);
+        self.schedule(time + Duration::from_secs_f64(pause), Event::Arrival);
         let vm = (self.random() * self.vms.len() as f64) as usize;
-        let place = self.vms[vm].0 as u64;
-        let object = place * 1_000 + (self.random() * self.load.objects as f64) as u64;
+        let region = self.vms[vm].0 as u64;
+        let object = region * 1_000 + (self.random() * self.load.objects as f64) as u64;
         let object = object_hash("charts", &object.to_le_bytes());
         self.send(vm, object, time);
     }
 
     fn send(&mut self, vm: usize, object: u64, time: Duration) {
-        let judged = time.as_secs_f64() >= self.load.judged_from;
-        self.judged += u32::from(judged);
+        let measured = time.as_secs_f64() >= self.load.measured_from;
+        self.measured += u32::from(measured);
         let service = service();
         let now = self.start + time;
         let balancer = &mut self.vms[vm].1;
@@ -216,59 +240,60 @@
         req.target_latency = Duration::from_millis(self.load.target_ms);
         req.time_left = Duration::from_millis(self.load.timeout_ms);
         let Pick::Send(target) = balancer.pick(&req, now) else {
-            self.refused += u32::from(judged);
+            self.refused += u32::from(measured);
             return;
         };
-        let number: usize = target.key.id[..3].parse().unwrap();
-        let waiting = Waiting {
+        // Ids start with the index of the endpoint.
+        let index: usize = target.key.id[..3].parse().unwrap();
+        let request = Request {
             vm,
             target,
             object,
-            sent: time,
+            sent_at: time,
         };
-        let server = &mut self.servers[number];
-        let back = time + Duration::from_millis(5);
-        if server.lost {
-            self.at(back, Event::Back(waiting, Outcome::Unreachable));
-        } else if server.running < self.load.slots {
-            self.begin(number, waiting, time);
-        } else if server.waiting.len() < self.load.queue {
-            server.waiting.push_back(waiting);
+        let endpoint = &mut self.endpoints[index];
+        let rejected_at = time + Duration::from_millis(5);
+        if endpoint.unreachable {
+            self.schedule(rejected_at, Event::Rejection(request, Outcome::Unreachable));
+        } else if endpoint.running < self.load.slots {
+            self.run_request(index, request, time);
+        } else if endpoint.queue.len() < self.load.queue {
+            endpoint.queue.push_back(request);
         } else {
-            self.at(back, Event::Back(waiting, Outcome::Refused));
+            self.schedule(rejected_at, Event::Rejection(request, Outcome::Refused));
         }
     }
 
-    fn begin(&mut self, number: usize, waiting: Waiting, time: Duration) {
-        let server = &mut self.servers[number];
-        server.running += 1;
-        let known = server.objects.iter().position(|o| *o == waiting.object);
-        if let Some(place) = known {
-            server.objects.remove(place);
+    fn run_request(&mut self, index: usize, request: Request, time: Duration) {
+        let endpoint = &mut self.endpoints[index];
+        endpoint.running += 1;
+        let cached = endpoint.cache.iter().position(|o| *o == request.object);
+        if let Some(position) = cached {
+            endpoint.cache.remove(position);
         }
-        server.objects.push_back(waiting.object);
-        if server.objects.len() > self.load.remembers {
-            server.objects.pop_front();
+        endpoint.cache.push_back(request.object);
+        if endpoint.cache.len() > self.load.cache_size {
+            endpoint.cache.pop_front();
         }
-        let work = if known.is_some() {
-            self.load.repeat_ms
+        let running_time = if cached.is_some() {
+            self.load.hit_ms
         } else {
-            self.load.first_ms
+            self.load.miss_ms
         };
-        let work = Duration::from_millis(work) * server.slow;
-        self.at(time + work, Event::Done(number, waiting));
+        let running_time = Duration::from_millis(running_time) * endpoint.slow_factor;
+        self.schedule(time + running_time, Event::Completion(index, request));
     }
 
-    fn done(&mut self, number: usize, waiting: &Waiting, time: Duration) {
-        self.servers[number].running -= 1;
-        let latency = time - waiting.sent;
-        if waiting.sent.as_secs_f64() >= self.load.judged_from {
+    fn complete(&mut self, index: usize, request: &Request, time: Duration) {
+        self.endpoints[index].running -= 1;
+        let latency = time - request.sent_at;
+        if request.sent_at.as_secs_f64() >= self.load.measured_from {
             self.in_target += u32::from(latency <= Duration::from_millis(self.load.target_ms));
             self.answered += u32::from(latency <= Duration::from_millis(self.load.timeout_ms));
         }
-        let server = &self.servers[number];
+        let endpoint = &self.endpoints[index];
         let report = LoadReport {
-            requests: u32::try_from(server.running + server.waiting.len()).unwrap(),
+            requests: u32::try_from(endpoint.running + endpoint.queue.len()).unwrap(),
             slots: u32::try_from(self.load.slots).unwrap(),
         };
         let outcome = Outcome::Answered {
@@ -276,58 +301,58 @@
             failed: false,
         };
         let now = self.start + time;
-        let vm = &mut self.vms[waiting.vm].1;
-        vm.finish(&waiting.target, waiting.object, outcome, Some(report), now);
-        if let Some(next) = self.servers[number].waiting.pop_front() {
-            self.begin(number, next, time);
+        let vm = &mut self.vms[request.vm].1;
+        vm.finish(&request.target, request.object, outcome, Some(report), now);
+        if let Some(next) = self.endpoints[index].queue.pop_front() {
+            self.run_request(index, next, time);
         }
     }
 
-    /// VMs tell each other homes of objects every 50 ms.
-    fn tell(&mut self, time: Duration) {
+    /// Sends the pending affinity updates of each VM to all others, every 50 ms.
+    fn exchange_affinities(&mut self, time: Duration) {
         let now = self.start + time;
-        let news: Vec<_> = self
+        let updates: Vec<_> = self
             .vms
             .iter_mut()
             .map(|(_, vm)| vm.affinities().take_pending_updates(1_000))
             .collect();
         for (to, (_, vm)) in self.vms.iter_mut().enumerate() {
-            for (_, homes) in news.iter().enumerate().filter(|(from, _)| *from != to) {
-                vm.apply_affinities(homes.clone(), now);
+            for (_, affinities) in updates.iter().enumerate().filter(|(from, _)| *from != to) {
+                vm.apply_affinities(affinities.clone(), now);
             }
         }
         if time.as_secs_f64() < self.load.seconds {
-            self.at(time + Duration::from_millis(50), Event::Tell);
+            self.schedule(time + Duration::from_millis(50), Event::AffinityExchange);
         }
     }
 }
 
-/// Guards against placement, waiting or refusal that serves callers worse than
-/// the file of the load asks for.
+/// Guards against placement, queueing or refusals that serve fewer requests in
+/// time than the load's file requires.
 #[rstest]
 fn load_is_served(#[files("tests/steering/loads/*.toml")] file: PathBuf) {
     let text = std::fs::read_to_string(&file).unwrap();
     let load: Load = toml::from_str(&text).unwrap();
     let (in_target, answered) = (load.in_target, load.answered);
-    let mut model = Model::new(load);
-    model.run();
-    let part = |count: u32| f64::from(count) / f64::from(model.judged);
+    let mut simulation = Simulation::new(load);
+    simulation.run();
+    let fraction = |count: u32| f64::from(count) / f64::from(simulation.measured);
     println!(
-        "{}: {} judged, {:.3} in target, {:.3} answered, {:.3} refused",
+        "{}: {} measured, {:.3} in target, {:.3} answered, {:.3} refused",
         file.file_stem().unwrap().to_string_lossy(),
-        model.judged,
-        part(model.in_target),
-        part(model.answered),
-        part(model.refused),
+        simulation.measured,
+        fraction(simulation.in_target),
+        fraction(simulation.answered),
+        fraction(simulation.refused),
     );
     assert!(
-        part(model.in_target) >= in_target,
-        "{:.3} in target",
-        part(model.in_target)
+        fraction(simulation.in_target) >= in_target,
+        "{:.3} of the requests were answered within the target latency",
+        fraction(simulation.in_target)
     );
     assert!(
-        part(model.answered) >= answered,
-        "{:.3} answered",
-        part(model.answered)
+        fraction(simulation.answered) >= answered,
+        "{:.3} of the requests were answered before the timeout",
+        fraction(simulation.answered)
     );
 }
--- a/crates/filbertgrade-coord/tests/steering/main.rs
+++ b/crates/filbertgrade-coord/tests/steering/main.rs
@@ -1,4 +1,5 @@
-//! Decisions of `filbertgrade_coord::steering`, without clocks and sockets.
+//! Tests of the decisions in `filbertgrade_coord::steering`. Time is simulated,
+//! and no sockets are used.
 
 #![expect(
     clippy::unwrap_used,
--- a/crates/filbertgrade-coord/tests/steering/scene.rs
+++ b/crates/filbertgrade-coord/tests/steering/scene.rs
@@ -1,4 +1,4 @@
-//! Names, endpoints and balancers that tests share.
+//! Names, endpoints and balancers shared by the tests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use filbertgrade_coord::steering::endpoint::{Endpoint, EndpointKey};
 use filbertgrade_coord::steering::retry::RetryConfig;
 
-pub(crate) const TARGET: Duration = Duration::from_millis(500);
+pub(crate) const TARGET_LATENCY: Duration = Duration::from_millis(500);
 
 pub(crate) fn vm(name: &str) -> VmName {
     VmName::try_from(name).unwrap()
@@ -29,7 +29,8 @@
     ServiceName::try_from("charts").unwrap()
 }
 
-/// Failure domain `north-a` is in region `north`, and so on.
+/// Returns one failure domain for each region: `north-a` in region `north`, and
+/// so on.
 pub(crate) fn regions(names: &[&str]) -> HashMap<FailureDomainName, RegionName> {
     names
         .iter()
@@ -37,6 +38,7 @@
         .collect()
 }
 
+/// Returns an endpoint whose port is derived from its id.
 pub(crate) fn endpoint(id: &str, region: &str, slots: u32) -> Endpoint {
     let port = 1_000
         + id.bytes()
@@ -73,11 +75,12 @@
     Arc::new(deployment)
 }
 
-pub(crate) fn balancer(name: &str, home: &str, names: &[&str]) -> Balancer {
+/// Returns a balancer for the VM `vm_name` in `own_region`, without endpoints.
+pub(crate) fn balancer(vm_name: &str, own_region: &str, region_names: &[&str]) -> Balancer {
     let mut balancer = Balancer::new(BalancerConfig {
-        vm: vm(name),
-        region: region(home),
-        regions: regions(names),
+        vm: vm(vm_name),
+        region: region(own_region),
+        regions: regions(region_names),
         retry: RetryConfig {
             ratio: 0.2,
             allowance: 20.0,
@@ -98,7 +101,8 @@
     balancer
 }
 
-/// A request for an object with 3 s left.
+/// Returns a sticky, idempotent request for an object, with 3 s left before its
+/// deadline.
 pub(crate) fn pick_request(service: &ServiceName, object: u64) -> PickRequest<'_> {
     PickRequest {
         service,
@@ -108,7 +112,7 @@
         allowed_regions: [&[], &[]],
         tried: &[],
         priority: 1,
-        target_latency: TARGET,
+        target_latency: TARGET_LATENCY,
         time_left: Duration::from_secs(3),
         body_bytes: 0,
     }
