--- a/crates/filbertgrade/src/request/attempt.rs
+++ b/crates/filbertgrade/src/request/attempt.rs
@@ -1,147 +1,156 @@
-//! States of one attempt to have a backend server run a request.
+//! States of one attempt to run a request on a backend server.
+//!
+//! The state determines whether the backend server may have run the request,
+//! and so whether it may be sent again.
 
 use std::fmt::Debug;
 
-/// How far an attempt got.
+/// Progress of an attempt, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptState {
     /// No byte of the request left this VM.
     NotSent,
     /// At least one byte of the request left this VM.
-    HeadersSent,
-    /// The whole request was handed to the connection, and bytes left.
-    BodySent,
-    /// The headers of the answer arrived.
-    AnswerBegun,
+    PartlySent,
+    /// The whole request was passed to the connection, and at least one byte
+    /// of it left this VM.
+    FullySent,
+    /// The headers of the response arrived.
+    ResponseStarted,
 }
 
-/// What happened on the socket since the attempt began.
-pub trait Evidence: Debug {
+/// What was sent on the connection since the attempt started.
+pub trait SendProgress: Debug {
     /// At least one byte of the request left this VM.
-    fn has_byte_left(&self) -> bool;
+    fn has_sent_bytes(&self) -> bool;
 
-    /// The end of the request's body was handed to the connection.
-    fn is_body_done(&self) -> bool;
+    /// The whole request body was passed to the connection.
+    fn has_sent_body(&self) -> bool;
 }
 
-/// No byte of the request left this VM.
+/// Type state for [`AttemptState::NotSent`].
 #[derive(Debug)]
 pub struct NotSent(());
 
-/// At least one byte of the request left this VM.
+/// Type state for [`AttemptState::PartlySent`].
 #[derive(Debug)]
-pub struct HeadersSent(());
+pub struct PartlySent(());
 
-/// The whole request was handed to the connection.
+/// Type state for [`AttemptState::FullySent`].
 #[derive(Debug)]
-pub struct BodySent(());
+pub struct FullySent(());
 
-/// The headers of the answer arrived.
+/// Type state for [`AttemptState::ResponseStarted`].
 #[derive(Debug)]
-pub struct AnswerBegun(());
+pub struct ResponseStarted(());
 
-/// One attempt in state `S`. It only moves forward, and only on evidence.
+/// One attempt in state `S`. It only moves to later states, and only when the
+/// recorded progress shows that the later state was reached.
 #[derive(Debug)]
 pub struct Attempt<S> {
     _state: S,
 }
 
-/// The state that an attempt turned out to be in.
+/// An attempt after its progress was read, one variant per state.
 #[derive(Debug)]
 pub enum Observed {
     /// See [`AttemptState::NotSent`].
     NotSent(Attempt<NotSent>),
-    /// See [`AttemptState::HeadersSent`].
-    HeadersSent(Attempt<HeadersSent>),
-    /// See [`AttemptState::BodySent`].
-    BodySent(Attempt<BodySent>),
+    /// See [`AttemptState::PartlySent`].
+    PartlySent(Attempt<PartlySent>),
+    /// See [`AttemptState::FullySent`].
+    FullySent(Attempt<FullySent>),
 }
 
 impl Attempt<NotSent> {
-    /// Begins an attempt.
+    /// Starts an attempt, of which nothing has been sent yet.
     #[must_use]
-    pub fn begin() -> Self {
+    pub fn start() -> Self {
         Self {
             _state: NotSent(()),
         }
     }
 
-    /// Looks at what happened on the socket. The result holds only once no
-    /// further byte can leave, that is, when the connection is closed.
+    /// Advances the attempt to the state that `progress` shows.
+    ///
+    /// A result of [`Observed::NotSent`] is final only once the connection is
+    /// closed, because until then further bytes may leave.
     #[must_use]
-    pub fn observe(self, evidence: &impl Evidence) -> Observed {
-        if evidence.has_byte_left() {
+    pub fn observe(self, progress: &impl SendProgress) -> Observed {
+        if progress.has_sent_bytes() {
             Attempt {
-                _state: HeadersSent(()),
+                _state: PartlySent(()),
             }
-            .observe(evidence)
+            .observe(progress)
         } else {
             Observed::NotSent(self)
         }
     }
 }
 
-impl Attempt<HeadersSent> {
-    /// Looks at whether the body is sent as well.
+impl Attempt<PartlySent> {
+    /// Advances the attempt if the whole body was sent as well.
     #[must_use]
-    pub fn observe(self, evidence: &impl Evidence) -> Observed {
-        if evidence.is_body_done() {
-            Observed::BodySent(Attempt {
-                _state: BodySent(()),
+    pub fn observe(self, progress: &impl SendProgress) -> Observed {
+        if progress.has_sent_body() {
+            Observed::FullySent(Attempt {
+                _state: FullySent(()),
             })
         } else {
-            Observed::HeadersSent(self)
+            Observed::PartlySent(self)
         }
     }
 
-    /// The backend server answered before it read the whole body.
+    /// Records that the response headers arrived before the whole body was
+    /// sent.
     #[must_use]
-    pub fn answer_begun(self) -> Attempt<AnswerBegun> {
+    pub fn response_started(self) -> Attempt<ResponseStarted> {
         Attempt {
-            _state: AnswerBegun(()),
+            _state: ResponseStarted(()),
         }
     }
 }
 
-impl Attempt<BodySent> {
-    /// The headers of the answer arrived.
+impl Attempt<FullySent> {
+    /// Records that the response headers arrived.
     #[must_use]
-    pub fn answer_begun(self) -> Attempt<AnswerBegun> {
+    pub fn response_started(self) -> Attempt<ResponseStarted> {
         Attempt {
-            _state: AnswerBegun(()),
+            _state: ResponseStarted(()),
         }
     }
 }
 
-impl Attempt<AnswerBegun> {
-    /// The state as a value.
+impl Attempt<ResponseStarted> {
+    /// Returns the type state as a value.
     #[must_use]
     pub fn state(&self) -> AttemptState {
-        AttemptState::AnswerBegun
+        AttemptState::ResponseStarted
     }
 }
 
 impl Observed {
-    /// The state as a value.
+    /// Returns the type state as a value.
     #[must_use]
     pub fn state(&self) -> AttemptState {
         match self {
             Self::NotSent(_) => AttemptState::NotSent,
-            Self::HeadersSent(_) => AttemptState::HeadersSent,
-            Self::BodySent(_) => AttemptState::BodySent,
+            Self::PartlySent(_) => AttemptState::PartlySent,
+            Self::FullySent(_) => AttemptState::FullySent,
         }
     }
 
-    /// Moves on when the headers of an answer arrived.
+    /// Records that the response headers arrived.
     ///
     /// # Errors
     ///
-    /// What arrived is no answer to this request when no byte of it left.
-    pub fn answer_begun(self) -> Result<Attempt<AnswerBegun>, Attempt<NotSent>> {
+    /// Returns the attempt unchanged when no byte of the request had left,
+    /// because what arrived then is not a response to this request.
+    pub fn response_started(self) -> Result<Attempt<ResponseStarted>, Attempt<NotSent>> {
         match self {
             Self::NotSent(attempt) => Err(attempt),
-            Self::HeadersSent(attempt) => Ok(attempt.answer_begun()),
-            Self::BodySent(attempt) => Ok(attempt.answer_begun()),
+            Self::PartlySent(attempt) => Ok(attempt.response_started()),
+            Self::FullySent(attempt) => Ok(attempt.response_started()),
         }
     }
 }
