--- a/crates/filbertgrade-coord/src/steering/cold_start.rs
+++ b/crates/filbertgrade-coord/src/steering/cold_start.rs
@@ -30,8 +30,8 @@
     /// `rate` requests a second from all VMs together. It starts with one token.
     pub fn new(rate: f64, senders: usize, now: Instant) -> Self {
         let rate = if rate.is_finite() { rate.max(0.0) } else { 0.0 };
-        let part = RateShare::new(rate / senders.max(1) as f64, 1.0).unwrap_or(RateShare::ZERO);
-        let mut bucket = TokenBucket::new(part, now);
+        let share = RateShare::new(rate / senders.max(1) as f64, 1.0).unwrap_or(RateShare::ZERO);
+        let mut bucket = TokenBucket::new(share, now);
         bucket.add_share(RateShare::ZERO, 1.0, now);
         Self { bucket }
     }
