--- a/crates/filbertgrade-coord/src/steering/quota/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/mod.rs
@@ -385,9 +385,12 @@
             .saturating_add(request.arrivals);
         if request.wait.is_none() {
             // A bucket under one token could never admit a request.
-let rate_share=RateShare::new(quota.limit.rate/vms,1.0);
-quota.requester_state.fallback.set_share(rate_share.unwrap_or(RateShare::ZERO),now);
-if quota.requester_state.fallback.try_take(now){
+            let rate_share = RateShare::new(quota.limit.rate / vms, 1.0);
+            quota
+                .requester_state
+                .fallback
+                .set_share(rate_share.unwrap_or(RateShare::ZERO), now);
+            if quota.requester_state.fallback.try_take(now) {
                 return Admission::Admitted;
             }
         }
