--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of requests by their team's rate and burst.
+//! Admission of requests according to the rate and burst of their team.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
@@ -19,35 +19,40 @@
 use crate::version::InForce;
 use crate::wire::{Body, Borrow, Loan};
 
-/// Longest wait for a token. A longer queue would only delay the refusal.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+/// Longest time a request waits for a token. A longer queue would only delay
+/// the refusal.
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(500);
 
-/// Time after which a queue that was never empty counts as standing.
-const STANDING_AFTER: Duration = Duration::from_secs(1);
+/// Time without an empty queue after which the queue is treated as a standing
+/// queue.
+const STANDING_QUEUE_AGE: Duration = Duration::from_secs(1);
 
-/// Arrivals for each admission above which a standing queue is the team's own
-/// doing. Loans that are still moving leave a team within its rate below it.
-const OVERLOADED: f64 = 1.5;
+/// Ratio of arrivals to admissions above which a standing queue is attributed
+/// to the team exceeding its rate. A team within its rate stays below this
+/// ratio, also while loans are still being moved to this VM.
+const OVERLOAD_RATIO: f64 = 1.5;
 
-/// Time between two rounds of a ledger that has demand or loans.
-const ROUND: Duration = Duration::from_millis(50);
+/// Interval between two rounds of a ledger that has demand or loans.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Peers that one ask goes to.
-const PEERS_PER_ASK: usize = 3;
+/// Number of peers that one loan request is split across.
+const PEERS_PER_REQUEST: usize = 3;
 
-/// Time for one answer of a peer. Loans run for 2 s from the sending of the
-/// ask, so a later answer would be of little use.
+/// Timeout for a peer's reply. Loans run for 2 s from the moment the request
+/// was sent, so little of a loan would be left after a later reply.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Decides whether a team may send another request now.
 #[derive(Debug)]
 pub(crate) struct Admission {
     vm: VmName,
-    /// Differs between any two processes of a VM.
+    /// Random number that tells apart the processes that run on this VM one
+    /// after the other.
     incarnation: u64,
     links: Arc<PeerLinks>,
-    /// A team that left the configuration keeps its ledger, because loans of
-    /// it may still run if it comes back.
+    /// All ledgers. The ledger of a team that was removed from the
+    /// configuration is kept, because its loans may still be running if the
+    /// team is added again.
     teams: RwLock<HashMap<TeamName, Arc<TeamShare>>>,
 }
 
@@ -56,20 +61,22 @@
 struct TeamShare {
     name: TeamName,
     state: Mutex<ShareState>,
-    /// Wakes the task that drives the ledger.
+    /// Wakes the task that runs the ledger.
     wake: Notify,
 }
 
 #[derive(Debug)]
 struct ShareState {
     ledger: ShareLedger,
-    /// Invariant: as many as the ledger counts as waiting, in order of arrival.
+    /// Waiting requests in order of arrival. Invariant: the length equals the
+    /// ledger's count of waiting requests.
     queue: VecDeque<Waiter>,
     next_number: u64,
-    /// Since when the queue has not been empty.
+    /// Since when the queue has not been empty; `None` while it is empty.
     queued_since: Option<Instant>,
-    /// Counts asks, so that each goes to the next peers in turn.
-    asks: usize,
+    /// Number of loan requests sent so far, used to select the next peers in
+    /// turn.
+    loan_requests: usize,
 }
 
 #[derive(Debug)]
@@ -88,8 +95,8 @@
         }
     }
 
-    /// Takes over the shares that are in force. The base may be spent until
-    /// `valid_until`; `None` forbids it.
+    /// Applies the share table in force to the ledgers of all teams. The base
+    /// share may be spent until `valid_until`; `None` forbids spending it.
     pub(crate) fn update(&self, view: &InForce, valid_until: Option<Instant>) {
         let Some(config) = &view.config else {
             return;
@@ -97,11 +104,11 @@
         let now = Instant::now();
         for (name, team) in &config.teams {
             let limit = RateShare::new(team.rate, team.burst).unwrap_or_default();
-            let share = self.share_of(name, now);
+            let share = self.find_or_create(name, now);
             let mut state = share.state();
             let version = view.shares.version();
-            let part = view.shares.share(&self.vm, limit);
-            state.ledger.set_base(now, version, part);
+            let vm_share = view.shares.share(&self.vm, limit);
+            state.ledger.set_base(now, version, vm_share);
             match valid_until {
                 Some(until) => {
                     state.ledger.allow_base(now, version, until);
@@ -116,16 +123,13 @@
         }
     }
 
-    /// Takes one token of `team`, and waits for it if it must, at most until
-    /// `deadline`.
+    /// Takes one token of `team`, waiting for it until `deadline` at most.
     ///
     /// # Errors
     ///
-    /// A refusal as not run when no token came in time.
+    /// Returns a "not run" refusal when no token became available in time.
     pub(crate) async fn admit(&self, team: &TeamName, deadline: Instant) -> Result<(), Refusal> {
-        let share = self
-            .existing(team)
-            .ok_or(Refusal::not_run(Cause::KeyRefused))?;
+        let share = self.find(team).ok_or(Refusal::not_run(Cause::KeyRefused))?;
         let now = Instant::now();
         let (number, rx) = {
             let mut state = share.state();
@@ -135,7 +139,7 @@
                     share.wake.notify_one();
                     return Ok(());
                 }
-                Decision::Refused(refusal) => return Err(refusal_of(refusal)),
+                Decision::Refused(refusal) => return Err(to_refusal(refusal)),
                 Decision::Wait { .. } => state.enqueue(now),
             }
         };
@@ -144,46 +148,47 @@
             number,
         };
         share.wake.notify_one();
-        let until = deadline.min(now + LONGEST_WAIT);
-        let decided = tokio::time::timeout_at(until.into(), rx).await;
+        let until = deadline.min(now + MAX_TOKEN_WAIT);
+        let result = tokio::time::timeout_at(until.into(), rx).await;
         drop(guard);
-        match decided {
+        match result {
             Ok(Ok(Ok(()))) => Ok(()),
-            Ok(Ok(Err(refusal))) => Err(refusal_of(refusal)),
+            Ok(Ok(Err(refusal))) => Err(to_refusal(refusal)),
             Ok(Err(_)) | Err(_) => Err(Refusal::not_run(Cause::OverRate)),
         }
     }
 
-    /// Lends to a peer what the own demand leaves free.
-    pub(crate) fn lend(&self, team: &TeamName, ask: &LoanRequest) -> Option<ledger::Loan> {
-        let share = self.existing(team)?;
-        match share.state().ledger.lend(Instant::now(), ask) {
-            LendOutcome::Lent(parcel) => {
+    /// Lends a peer the part of this VM's share that its own demand leaves
+    /// unused. Returns `None` when nothing can be lent.
+    pub(crate) fn lend(&self, team: &TeamName, request: &LoanRequest) -> Option<ledger::Loan> {
+        let share = self.find(team)?;
+        match share.state().ledger.lend(Instant::now(), request) {
+            LendOutcome::Lent(loan) => {
                 metrics::counter!("loans_out_total").increment(1);
-                Some(parcel)
+                Some(loan)
             }
             LendOutcome::Declined(_) => None,
         }
     }
 
-    /// Answers a borrower's renewal.
+    /// Handles a borrower's request to extend a loan.
     pub(crate) fn renew(&self, team: &TeamName, renewal: &Renewal) -> RenewalReply {
-        match self.existing(team) {
+        match self.find(team) {
             Some(share) => share.state().ledger.renew(Instant::now(), renewal),
             None => RenewalReply::Declined,
         }
     }
 
-    /// Takes back a loan that a borrower returned.
-    pub(crate) fn take_back(&self, team: &TeamName, returned: &LoanReturn) {
-        if let Some(share) = self.existing(team) {
+    /// Accepts a loan that a borrower returned before the end of its lease.
+    pub(crate) fn accept_return(&self, team: &TeamName, returned: &LoanReturn) {
+        if let Some(share) = self.find(team) {
             share.state().ledger.accept_return(Instant::now(), returned);
             share.wake.notify_one();
         }
     }
 
-    /// Gives all loans back, for a VM that stops.
-    pub(crate) async fn give_back_all(&self) {
+    /// Returns all loans to their lenders. Called when the VM stops.
+    pub(crate) async fn return_all_loans(&self) {
         for share in self.shares() {
             let returns = share.state().ledger.return_all_loans(Instant::now());
             for returned in returns {
@@ -192,7 +197,9 @@
         }
     }
 
-    /// The version of the share table that is in effect in every ledger.
+    /// Returns the version of the share table that is in effect in every
+    /// ledger, or `None` while any ledger still holds more than the table
+    /// assigns to it.
     pub(crate) fn version_in_effect(&self) -> Option<u64> {
         let now = Instant::now();
         self.shares()
@@ -202,7 +209,7 @@
             .flatten()
     }
 
-    /// Plain copies of all ledgers.
+    /// Returns copies of the state of all ledgers, for the operator port.
     pub(crate) fn snapshots(&self) -> Vec<LedgerSnapshot> {
         let now = Instant::now();
         self.shares()
@@ -211,7 +218,7 @@
             .collect()
     }
 
-    fn existing(&self, team: &TeamName) -> Option<Arc<TeamShare>> {
+    fn find(&self, team: &TeamName) -> Option<Arc<TeamShare>> {
         let teams = read(&self.teams);
         teams.get(team).map(Arc::clone)
     }
@@ -221,8 +228,8 @@
         teams.values().map(Arc::clone).collect()
     }
 
-    fn share_of(&self, team: &TeamName, now: Instant) -> Arc<TeamShare> {
-        if let Some(share) = self.existing(team) {
+    fn find_or_create(&self, team: &TeamName, now: Instant) -> Arc<TeamShare> {
+        if let Some(share) = self.find(team) {
             return share;
         }
         let ledger = ShareLedger::new(
@@ -239,17 +246,17 @@
                 queue: VecDeque::new(),
                 next_number: 0,
                 queued_since: None,
-                asks: 0,
+                loan_requests: 0,
             }),
             wake: Notify::new(),
         });
-        tokio::spawn(drive(Arc::clone(&share), Arc::clone(&self.links)));
+        tokio::spawn(run_ledger(Arc::clone(&share), Arc::clone(&self.links)));
         let mut teams = write(&self.teams);
         Arc::clone(teams.entry(team.clone()).or_insert(share))
     }
 
     async fn send_return(&self, team: &TeamName, returned: LoanReturn) {
-        if let Some(link) = self.links.to(&returned.loan.lender) {
+        if let Some(link) = self.links.link_to(&returned.loan.lender) {
             let body = Body::ReturnLoan((team, returned).into());
             let _ = tokio::time::timeout(PEER_TIMEOUT, link.notify(body)).await;
         }
@@ -286,27 +293,29 @@
                 let _ = waiter.tx.send(verdict);
             }
         }
-        self.note_empty();
+        self.clear_if_empty();
         None
     }
 
-    /// The newest request of a standing queue of an overloaded team, else the
-    /// oldest.
+    /// Removes the request that gets the next token: the newest one when the
+    /// queue is a standing queue of an overloaded team, otherwise the oldest
+    /// one.
     ///
-    /// A team over its rate keeps its queue full. In order of arrival each of
-    /// its requests would wait as long as requests may; the newest first, most
-    /// of those that get a token are on time.
+    /// A team over its rate keeps its queue full. Served in order of arrival,
+    /// each of its requests would wait for nearly the maximum time. Served
+    /// newest first, most of the requests that get a token are served soon
+    /// after they arrive.
     fn next_waiter(&mut self, now: Instant) -> Option<Waiter> {
         let since = self.queued_since.unwrap_or(now);
-        let is_standing = now.saturating_duration_since(since) > STANDING_AFTER;
-        if is_standing && self.ledger.overload_ratio(now) > OVERLOADED {
+        let is_standing = now.saturating_duration_since(since) > STANDING_QUEUE_AGE;
+        if is_standing && self.ledger.overload_ratio(now) > OVERLOAD_RATIO {
             self.queue.pop_back()
         } else {
             self.queue.pop_front()
         }
     }
 
-    fn note_empty(&mut self) {
+    fn clear_if_empty(&mut self) {
         if self.queue.is_empty() {
             self.queued_since = None;
         }
@@ -318,7 +327,7 @@
     }
 }
 
-/// Removes a request that no longer waits for a token.
+/// Removes a request from the queue when it stops waiting for a token.
 struct WaitGuard<'a> {
     share: &'a TeamShare,
     number: u64,
@@ -331,31 +340,33 @@
         if let Some(position) = position {
             state.queue.remove(position);
             state.ledger.abandon(Instant::now());
-            state.note_empty();
+            state.clear_if_empty();
         }
     }
 }
 
-/// What the task of a ledger does next.
+/// Result of one round of a ledger: what its task has to send, and when it runs
+/// again.
 struct Round {
-    ask: Option<(LoanRequest, usize)>,
-    due: Vec<LoanAction>,
-    /// When to run again; `None` waits for a request.
-    again_at: Option<Instant>,
+    request: Option<(LoanRequest, usize)>,
+    loan_actions: Vec<LoanAction>,
+    /// Time of the next round; `None` waits until a request arrives.
+    next_at: Option<Instant>,
 }
 
-/// Serves the queue of one ledger, asks peers for loans and renews them.
-async fn drive(share: Arc<TeamShare>, links: Arc<PeerLinks>) {
+/// Task of one ledger: serves its queue, requests loans from peers, and renews
+/// or returns loans that are due.
+async fn run_ledger(share: Arc<TeamShare>, links: Arc<PeerLinks>) {
     loop {
-        let round = next_round(&share);
-        if let Some((ask, turn)) = round.ask {
-            ask_peers(&share, &links, &ask, turn);
+        let round = run_round(&share);
+        if let Some((request, round)) = round.request {
+            request_from_peers(&share, &links, &request, round);
         }
-        for action in round.due {
-            settle_loan(&share, &links, action);
+        for action in round.loan_actions {
+            send_loan_action(&share, &links, action);
         }
         let woken = share.wake.notified();
-        match round.again_at {
+        match round.next_at {
             Some(at) => {
                 let _ = tokio::time::timeout_at(at.into(), woken).await;
             }
@@ -364,44 +375,50 @@
     }
 }
 
-fn next_round(share: &TeamShare) -> Round {
+fn run_round(share: &TeamShare) -> Round {
     let now = Instant::now();
     let mut state = share.state();
     let next_token = state.serve_queue(now);
-    let due = state.ledger.due_loan_actions(now);
-    let ask = state.ledger.request_loan(now);
-    let ask = ask.map(|ask| {
-        state.asks += 1;
-        (ask, state.asks)
+    let loan_actions = state.ledger.due_loan_actions(now);
+    let request = state.ledger.request_loan(now);
+    let request = request.map(|request| {
+        state.loan_requests += 1;
+        (request, state.loan_requests)
     });
-    let again_at = state.is_active(now).then_some(now + ROUND);
+    let next_at = state.is_active(now).then_some(now + ROUND_INTERVAL);
     Round {
-        ask,
-        due,
-        again_at: again_at.into_iter().chain(next_token).min(),
+        request,
+        loan_actions,
+        next_at: next_at.into_iter().chain(next_token).min(),
     }
 }
 
-/// Sends an equal part of the ask to each of the next peers in turn.
-fn ask_peers(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, ask: &LoanRequest, turn: usize) {
-    let peers = links.next_peers(PEERS_PER_ASK, turn);
+/// Splits a loan request evenly across the next peers in turn.
+fn request_from_peers(
+    share: &Arc<TeamShare>,
+    links: &Arc<PeerLinks>,
+    request: &LoanRequest,
+    round: usize,
+) {
+    let peers = links.next_peers(PEERS_PER_REQUEST, round);
     if peers.is_empty() {
         return;
     }
     let fraction = 1.0 / peers.len() as f64;
-    let part = ask.share.scaled(fraction);
+    let vm_share = request.share.scaled(fraction);
     for (peer, link) in peers {
-        let ask = LoanRequest {
-            id: ask.id.clone(),
-            share: part,
-            // A whole token, because a fraction of one admits nothing.
-            tokens: (ask.tokens * fraction).ceil().min(part.burst()),
+        let request = LoanRequest {
+            id: request.id.clone(),
+            share: vm_share,
+            // Rounded up to a whole token, because a fraction of one admits no
+            // request.
+            tokens: (request.tokens * fraction).ceil().min(vm_share.burst()),
         };
         let share = Arc::clone(share);
         tokio::spawn(async move {
-            let body = Body::Borrow(Borrow::from((&share.name, &ask)));
+            let body = Body::Borrow(Borrow::from((&share.name, &request)));
             match link.call(body, PEER_TIMEOUT).await {
-                Ok(Body::Loan(loan)) => take_loan(&share, &ask, loan),
+                Ok(Body::Loan(loan)) => credit_loan(&share, &request, loan),
                 Ok(_) => {}
                 Err(error) => log::debug!(
                     "event=borrow_failed peer={peer} error={}",
@@ -412,10 +429,10 @@
     }
 }
 
-fn take_loan(share: &TeamShare, ask: &LoanRequest, loan: Loan) {
-    match loan.into_parcel(ask) {
-        Ok(Some(parcel)) => {
-            let credit = share.state().ledger.credit(Instant::now(), &parcel);
+fn credit_loan(share: &TeamShare, request: &LoanRequest, loan: Loan) {
+    match loan.into_parcel(request) {
+        Ok(Some(loan)) => {
+            let credit = share.state().ledger.credit(Instant::now(), &loan);
             log::debug!("event=loan team={} outcome={credit:?}", share.name);
             metrics::counter!("loans_in_total").increment(1);
             share.wake.notify_one();
@@ -425,12 +442,12 @@
     }
 }
 
-fn settle_loan(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, action: LoanAction) {
+fn send_loan_action(share: &Arc<TeamShare>, links: &Arc<PeerLinks>, action: LoanAction) {
     let lender = match &action {
         LoanAction::Renew(renewal) => &renewal.loan.lender,
         LoanAction::Return(returned) => &returned.loan.lender,
     };
-    let Some(link) = links.to(lender) else {
+    let Some(link) = links.link_to(lender) else {
         return;
     };
     let share = Arc::clone(share);
@@ -454,7 +471,7 @@
     });
 }
 
-fn refusal_of(refusal: AdmissionRefusal) -> Refusal {
+fn to_refusal(refusal: AdmissionRefusal) -> Refusal {
     match refusal {
         AdmissionRefusal::QueueFull => Refusal::not_run(Cause::OverRate),
         AdmissionRefusal::BaseUnusable => Refusal::not_run(Cause::Isolated),
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The callers' port: HTTP/1.1 and HTTP/2.
+//! The port for callers: HTTP/1.1 and HTTP/2.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -17,57 +17,60 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::answer::{Body, json, refuse};
 use super::caller_io::CallerIo;
-use super::{Entry, carry, lookup};
+use super::response::{Body, json, refuse};
+use super::{Entry, forward, lookup};
 use crate::logfmt;
 use crate::process::tasks::Running;
 use crate::request::{Cause, Refusal};
 
-/// Callers' connections at a time. Each costs a few kilobytes and up to
-/// [`MAX_HEAD`] while a request is read, which bounds memory on a small VM.
+/// Maximum number of callers' connections open at a time. Each costs a few
+/// kilobytes, and up to [`MAX_HEAD_BYTES`] while a request head is read; the
+/// limit bounds memory on a small VM.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// Time for the head of a request, from the moment the connection is ready
-/// for it. It is also the longest time between two requests on a connection.
+/// Timeout for reading the head of a request, counted from the moment the
+/// connection is ready for it. It is therefore also the longest idle time
+/// between two requests on a connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time beyond the look-up time to live in which connections are accepted that
-/// were made before its end.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
+/// How long after the look-up time to live the entry still accepts connections
+/// that callers opened before its end.
+const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(50);
 
-/// Time without a byte after which a stopping VM closes an HTTP/1.1
-/// connection. A shorter time could close it under a request that is on its
-/// way.
-const QUIET_TIME: Duration = Duration::from_secs(1);
+/// Idle time after which a stopping VM closes an HTTP/1.1 connection. After a
+/// shorter time it could close the connection while a request is in transit.
+const IDLE_TIME_BEFORE_CLOSE: Duration = Duration::from_secs(1);
 
-/// Pause before looking again at a connection that sent only a part of the
+/// Interval between two checks of a connection that has sent only part of the
 /// HTTP/2 preface.
-const PREFACE_PAUSE: Duration = Duration::from_millis(10);
+const PREFACE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Largest head of a request in bytes.
-const MAX_HEAD: usize = 64 * 1024;
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Most header lines of a request.
+/// Maximum number of header lines of a request.
 const MAX_HEADERS: usize = 100;
 
-/// Requests at a time on one HTTP/2 connection.
-const MAX_STREAMS: u32 = 200;
+/// Maximum number of concurrent requests on one HTTP/2 connection.
+const MAX_CONCURRENT_REQUESTS: u32 = 200;
 
-/// Bytes of bodies that one HTTP/2 connection may have waiting in the entry.
-const CONNECTION_WINDOW: u32 = 1024 * 1024;
+/// Maximum number of body bytes that the entry buffers for one HTTP/2
+/// connection.
+const CONNECTION_WINDOW_BYTES: u32 = 1024 * 1024;
 
-/// Bytes of one body that may wait in the entry.
-const STREAM_WINDOW: u32 = 256 * 1024;
+/// Maximum number of bytes that the entry buffers for one body.
+const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
 
-/// Time between probes of a silent HTTP/2 connection, and for their answers.
-const PROBE_INTERVAL: Duration = Duration::from_secs(10);
+/// Interval between keep-alive pings on an HTTP/2 connection, and the timeout
+/// for their replies.
+const PING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What an HTTP/2 connection starts with.
+/// First bytes that a client sends on an HTTP/2 connection.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/// Accepts callers' connections until `stop` resolves. Connections that are
-/// open then are told through `close`.
+/// Accepts callers' connections until `stop` resolves. The connections that are
+/// then open are notified through `close`.
 pub(crate) async fn serve(
     entry: &Arc<Entry>,
     listener: TcpListener,
@@ -89,13 +92,17 @@
             }
         }
     }
-    let rest = accept_rest(entry, &listener, close);
-    let _ = tokio::time::timeout(ACCEPT_REST, rest).await;
+    let accepting = accept_established(entry, &listener, close);
+    let _ = tokio::time::timeout(FINAL_ACCEPT_TIME, accepting).await;
 }
 
-/// Accepts what the kernel accepted already. It would be reset with the
-/// listener.
-async fn accept_rest(entry: &Arc<Entry>, listener: &TcpListener, close: &watch::Receiver<bool>) {
+/// Accepts connections that the kernel has already established. They would be
+/// reset when the listener is closed.
+async fn accept_established(
+    entry: &Arc<Entry>,
+    listener: &TcpListener,
+    close: &watch::Receiver<bool>,
+) {
     while let Ok((stream, peer)) = listener.accept().await {
         accept(entry, stream, peer, close.clone());
     }
@@ -103,12 +110,12 @@
 
 fn accept(entry: &Arc<Entry>, stream: TcpStream, peer: SocketAddr, close: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
-    if entry.callers.count() >= MAX_CONNECTIONS {
-        tokio::spawn(turn_away(stream, entry.turned_away.begin()));
+    if entry.caller_connections.count() >= MAX_CONNECTIONS {
+        tokio::spawn(refuse_connection(stream, entry.refused_callers.begin()));
         return;
     }
     let entry = Arc::clone(entry);
-    let running = entry.callers.begin();
+    let running = entry.caller_connections.begin();
     tokio::spawn(async move {
         let _running = running;
         match is_http2(&stream).await {
@@ -119,28 +126,28 @@
     });
 }
 
-/// Refuses a connection beyond the limit, without reading from it.
-async fn turn_away(mut stream: TcpStream, _running: Running) {
+/// Refuses a connection beyond the limit without reading from it.
+async fn refuse_connection(mut stream: TcpStream, _running: Running) {
     let refusal = Refusal::not_run(Cause::TooManyConnections);
     let (cause, outcome) = (refusal.cause(), refusal.outcome());
     let body = format!("{{\"cause\":\"{cause}\",\"outcome\":\"{outcome}\"}}");
-    let answer = format!(
+    let respond = format!(
         "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\
          filbertgrade-cause: {cause}\r\nfilbertgrade-outcome: {outcome}\r\n\r\n{body}",
         body.len()
     );
     let write = async {
-        stream.write_all(answer.as_bytes()).await?;
+        stream.write_all(respond.as_bytes()).await?;
         stream.shutdown().await
     };
     let _ = tokio::time::timeout(Duration::from_secs(1), write).await;
 }
 
-/// Tells from its first bytes whether a connection speaks HTTP/2. `None` when
-/// they do not come in time.
+/// Detects from its first bytes whether a connection uses HTTP/2. Returns
+/// `None` when the connection ends or the bytes do not arrive in time.
 async fn is_http2(stream: &TcpStream) -> Option<bool> {
-    let look = async {
+    let detection = async {
         let mut first = [0_u8; PREFACE.len()];
         loop {
             let n = stream.peek(&mut first).await.ok()?;
@@ -153,10 +160,10 @@
             if n == PREFACE.len() {
                 return Some(true);
             }
-            tokio::time::sleep(PREFACE_PAUSE).await;
+            tokio::time::sleep(PREFACE_POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(HEAD_TIMEOUT, look).await.ok()?
+    tokio::time::timeout(HEAD_TIMEOUT, detection).await.ok()?
 }
 
 async fn serve_http1(
@@ -165,24 +172,24 @@
     peer: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| answer(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| respond(Arc::clone(&entry), peer, req));
     let io = CallerIo::new(stream);
     let activity = io.activity();
     let mut server = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
-            .max_buf_size(MAX_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .serve_connection(TokioIo::new(io), handler)
     );
-    let quiet = async {
+    let idle = async {
         let _ = close.wait_for(|close| *close).await;
-        activity.quiet_for(QUIET_TIME).await;
+        activity.wait_until_idle(IDLE_TIME_BEFORE_CLOSE).await;
     };
     tokio::select! {
         _ = &mut server => return,
-        () = quiet => server.as_mut().graceful_shutdown(),
+        () = idle => server.as_mut().graceful_shutdown(),
     }
     let _ = server.await;
 }
@@ -193,17 +200,17 @@
     peer: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| answer(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| respond(Arc::clone(&entry), peer, req));
     let mut server = pin!(
         http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
-            .keep_alive_interval(PROBE_INTERVAL)
-            .keep_alive_timeout(PROBE_INTERVAL)
-            .max_concurrent_streams(MAX_STREAMS)
-            .max_header_list_size(MAX_HEAD as u32)
-            .initial_connection_window_size(CONNECTION_WINDOW)
-            .initial_stream_window_size(STREAM_WINDOW)
-            .max_send_buf_size(STREAM_WINDOW as usize)
+            .keep_alive_interval(PING_INTERVAL)
+            .keep_alive_timeout(PING_INTERVAL)
+            .max_concurrent_streams(MAX_CONCURRENT_REQUESTS)
+            .max_header_list_size(MAX_HEAD_BYTES as u32)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
+            .initial_stream_window_size(STREAM_WINDOW_BYTES)
+            .max_send_buf_size(STREAM_WINDOW_BYTES as usize)
             .serve_connection(TokioIo::new(CallerIo::new(stream)), handler)
     );
     tokio::select! {
@@ -213,32 +220,32 @@
     let _ = server.await;
 }
 
-async fn answer(
+async fn respond(
     entry: Arc<Entry>,
     peer: SocketAddr,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let arrived = Instant::now();
     let version = req.version();
-    let mut answer = if req.method() == Method::GET && req.uri().path() == "/v1/lookup" {
-        look_up(&entry, peer, &req)
+    let mut respond = if req.method() == Method::GET && req.uri().path() == "/v1/lookup" {
+        handle_lookup(&entry, peer, &req)
     } else {
-        carry::carry(&entry, req, arrived)
+        forward::forward(&entry, req, arrived)
             .await
             .unwrap_or_else(|r| refuse(&r))
     };
     if entry.is_leaving() && version < Version::HTTP_2 {
-        // The caller opens its next connection to another VM, instead of
+        // Makes the caller open its next connection to another VM, instead of
         // sending a request while this VM closes the connection.
-        answer
+        respond
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(respond)
 }
 
-fn look_up(entry: &Entry, peer: SocketAddr, req: &Request<Incoming>) -> Response<Body> {
-    let client = client_of(req).unwrap_or(peer.ip());
+fn handle_lookup(entry: &Entry, peer: SocketAddr, req: &Request<Incoming>) -> Response<Body> {
+    let client = client_address(req).unwrap_or(peer.ip());
     let view = entry.in_force.load();
     let leaving = entry.is_leaving().then_some(&entry.settings.vm);
     json(
@@ -247,7 +254,7 @@
     )
 }
 
-fn client_of(req: &Request<Incoming>) -> Option<IpAddr> {
+fn client_address(req: &Request<Incoming>) -> Option<IpAddr> {
     let query = req.uri().query()?;
     let client = query.split('&').find_map(|p| p.strip_prefix("client="))?;
     client.parse().ok()
--- a/crates/filbertgrade/src/process/entry/caller_io.rs
+++ b/crates/filbertgrade/src/process/entry/caller_io.rs
@@ -1,5 +1,5 @@
-//! A caller's connection: it ends when the caller stops reading, and tells
-//! when it was last used.
+//! I/O of a caller's connection: fails when the caller stops reading, and
+//! records when the connection was last used.
 
 use std::io;
 use std::pin::Pin;
@@ -12,11 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// Longest time in which a caller takes no byte of what is written to it. A
-/// caller that vanished would otherwise hold its connection for many minutes.
-const WRITE_STALL: Duration = Duration::from_secs(30);
+/// How long a write may make no progress because the caller accepts no byte.
+/// Without this limit, a caller that vanished would hold its connection for
+/// many minutes.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// When a caller's connection was last used.
+/// Records when a caller's connection was last used. Clones share the record.
 #[derive(Clone, Debug)]
 pub(crate) struct Activity {
     start: Instant,
@@ -24,13 +25,13 @@
     last_ms: Arc<AtomicU64>,
 }
 
-/// I/O of a caller's connection.
+/// A caller's connection with a write timeout and a record of its activity.
 #[derive(Debug)]
 pub(crate) struct CallerIo {
     stream: TcpStream,
     activity: Activity,
-    /// Runs while a write waits.
-    stall: Option<Pin<Box<Sleep>>>,
+    /// Write timeout; set while a write is pending.
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Activity {
@@ -41,20 +42,20 @@
         }
     }
 
-    fn note(&self) {
+    fn record_use(&self) {
         let ms = u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.last_ms.store(ms, Ordering::Relaxed);
     }
 
-    /// Waits until the connection was not used for `time`.
-    pub(crate) async fn quiet_for(&self, time: Duration) {
+    /// Waits until the connection has been idle for `time`.
+    pub(crate) async fn wait_until_idle(&self, time: Duration) {
         loop {
-            let last = Duration::from_millis(self.last_ms.load(Ordering::Relaxed));
-            let quiet = self.start.elapsed().saturating_sub(last);
-            if quiet >= time {
+            let last_use = Duration::from_millis(self.last_ms.load(Ordering::Relaxed));
+            let idle = self.start.elapsed().saturating_sub(last_use);
+            if idle >= time {
                 return;
             }
-            tokio::time::sleep(time - quiet).await;
+            tokio::time::sleep(time - idle).await;
         }
     }
 }
@@ -64,29 +65,29 @@
         Self {
             stream,
             activity: Activity::new(),
-            stall: None,
+            write_timer: None,
         }
     }
 
-    /// When the connection was last used.
+    /// Returns the activity record of this connection.
     pub(crate) fn activity(&self) -> Activity {
         self.activity.clone()
     }
 
-    fn bound<T>(
+    fn limit_write_time<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_ready() {
-            self.stall = None;
-            self.activity.note();
+            self.write_timer = None;
+            self.activity.record_use();
             return written;
         }
-        let stall = self
-            .stall
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep(WRITE_STALL)));
-        ready!(stall.as_mut().poll(cx));
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep(WRITE_TIMEOUT)));
+        ready!(write_timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
@@ -100,7 +101,7 @@
         let filled = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > filled {
-            self.activity.note();
+            self.activity.record_use();
         }
         read
     }
@@ -113,7 +114,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.bound(cx, written)
+        self.limit_write_time(cx, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -130,7 +131,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.bound(cx, written)
+        self.limit_write_time(cx, written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/filbertgrade/src/process/entry/dump.rs
+++ b/crates/filbertgrade/src/process/entry/dump.rs
@@ -1,4 +1,4 @@
-//! What the entry's operator port shows.
+//! Readiness, gauges and state dumps of the entry's operator port.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,7 +9,7 @@
 use super::Entry;
 use crate::process::operator::OperatorPort;
 
-/// Makes the operator port of the entry.
+/// Creates the operator port of the entry.
 pub(crate) fn operator_port(entry: &Arc<Entry>) -> OperatorPort {
     let (ready, gauges) = (Arc::clone(entry), Arc::clone(entry));
     let (process, in_force) = (Arc::clone(entry), Arc::clone(entry));
@@ -19,7 +19,7 @@
         .part("process", move || describe(&process))
         .part("in_force", move || view(&in_force))
         .part("shares", move || ledgers(&shares))
-        .part("slots", move || books(&slots))
+        .part("slots", move || slot_pools(&slots))
 }
 
 fn readiness(entry: &Entry) -> Result<(), &'static str> {
@@ -96,10 +96,10 @@
     Value::Array(ledgers.collect())
 }
 
-fn books(entry: &Entry) -> Value {
-    let books = entry.slots.snapshots().into_iter();
-    let books = books.map(|(service, region, book)| {
-        let endpoints = book.endpoints.iter().map(|endpoint| {
+fn slot_pools(entry: &Entry) -> Value {
+    let slot_pools = entry.slots.snapshots().into_iter();
+    let slot_pools = slot_pools.map(|(service, region, pool)| {
+        let endpoints = pool.endpoints.iter().map(|endpoint| {
             json!({
                 "endpoint": endpoint.name.as_str(),
                 "slots": endpoint.slots,
@@ -108,23 +108,23 @@
                 "draining": endpoint.draining,
             })
         });
-        let waiting = book.waiting.iter().map(|(_, waiting)| waiting);
+        let waiting = pool.waiting.iter().map(|(_, waiting)| waiting);
         json!({
             "service": service.as_str(),
             "region": region.as_str(),
-            "permits": book.permits,
+            "permits": pool.permits,
             "waiting": waiting.sum::<usize>(),
             "endpoints": endpoints.collect::<Vec<_>>(),
         })
     });
-    Value::Array(books.collect())
+    Value::Array(slot_pools.collect())
 }
 
 fn valid_ms(entry: &Entry) -> u64 {
     let now = Instant::now();
-    let left = entry
+    let time_left = entry
         .valid_until
         .load()
         .map(|until| until.saturating_duration_since(now));
-    left.map_or(0, |left| left.as_millis() as u64)
+    time_left.map_or(0, |time_left| time_left.as_millis() as u64)
 }
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -1,4 +1,5 @@
-//! Follows the agent of the own VM and keeps the state in force.
+//! Receives state from the agent of this VM and keeps the state in force
+//! current.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,14 +14,16 @@
 use crate::version::{InForce, IncomingDelta};
 use crate::wire::{Body, Feed, Hello, Report};
 
-/// Time for one answer of the agent, which answers at once or when its state
-/// changes, at the latest after [`crate::process::agent::FEED_WAIT`].
+/// Timeout for one reply of the agent. The agent replies immediately when it
+/// has newer state, otherwise when its state changes, and at the latest after
+/// [`crate::process::agent::FEED_WAIT`].
 const FEED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after a failed call, so that an absent agent costs little.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed call, to limit the cost of retries while the agent is
+/// down.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Asks the agent for state again and again.
+/// Requests state from the agent in an endless loop.
 pub(crate) async fn follow_agent(entry: Arc<Entry>) {
     let settings = &entry.settings;
     let address = SocketAddr::new(settings.address, settings.ports.agent_peer);
@@ -28,31 +31,31 @@
     let mut objects = VersionedMap::new(0);
     let mut incoming = IncomingDelta::default();
     loop {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let hello = Hello {
             revision: objects.revision(),
             resume: incoming.resume(),
         };
         match link.call(Body::Hello(hello), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
-                take_feed(&entry, &mut objects, &mut incoming, feed, sent);
+                apply_feed(&entry, &mut objects, &mut incoming, feed, sent_at);
                 let _ = link.notify(Body::Report(report(&entry))).await;
             }
-            Ok(_) => tokio::time::sleep(RETRY_PAUSE).await,
+            Ok(_) => tokio::time::sleep(RETRY_DELAY).await,
             Err(error) => {
                 log::warn!("event=feed_failed error={}", logfmt::value(&error));
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn take_feed(
+fn apply_feed(
     entry: &Entry,
     objects: &mut VersionedMap<Bytes>,
     incoming: &mut IncomingDelta,
     feed: Feed,
-    sent: Instant,
+    sent_at: Instant,
 ) {
     match feed.delta.map(|page| incoming.take(page)) {
         Some(Ok(Some(delta))) => match crate::version::apply_delta(objects, delta) {
@@ -65,18 +68,20 @@
     }
     let until = match feed.valid_ms {
         Some(0) => None,
-        // The agent vouches for its own revision, not for an older one here.
+        // The validity refers to the agent's revision, so it does not apply
+        // while this entry holds an older one.
         Some(ms) if objects.revision() >= feed.revision => {
-            Some(sent + Duration::from_millis(ms.into()))
+            Some(sent_at + Duration::from_millis(ms.into()))
         }
-        // What an earlier answer of the agent proved stays true.
+        // Otherwise the limit of an earlier reply stays valid.
         _ => **entry.valid_until.load(),
     };
     entry.valid_until.store(Arc::new(until));
     entry.admission.update(&entry.view(), until);
 }
 
-/// A revision without changed objects needs no new view besides its number.
+/// Brings a revision into force. When it changed no objects, only the revision
+/// number of the view is updated.
 fn put_in_force(entry: &Entry, objects: &VersionedMap<Bytes>, names: &[Arc<str>]) {
     let previous = entry.in_force.load();
     let view = if names.is_empty() {
--- a/crates/filbertgrade/src/process/entry/carry.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Carries one request to a backend server and its answer back.
+//! Forwards one request to a backend server and streams the response back.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use hyper::body::{Body as _, Incoming};
 
 use super::Entry;
-use super::answer::{AnswerStream, Body};
-use super::slots::{EndpointFault, SlotAsk, SlotGrant};
+use super::response::{Body, ResponseStream};
+use super::slots::{EndpointFault, SlotCriteria, SlotGrant};
 use crate::connection::{Busy, CheckoutParams, Connection, PoolError};
 use crate::logfmt;
 use crate::request::{
@@ -23,15 +23,16 @@
 };
 use crate::version::{Access, InForce, KeySecret, ServiceName};
 
-/// How long a reused connection may stay silent under an idempotent request
-/// before the request is sent again on a new connection. Open connections can
-/// go silent for good while new ones work.
-const SILENCE_PATIENCE: Duration = Duration::from_secs(1);
+/// How long to wait for a response on a reused connection before an idempotent
+/// request is sent again on a new one. Open connections can stop delivering
+/// data permanently while new connections work.
+const REUSED_CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time for reading what a caller still sends after a refusal.
-const REST_TIME: Duration = Duration::from_secs(2);
+/// Longest time for reading the rest of an upload after its request was
+/// refused.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One request, read and checked.
+/// A request whose head has been read and checked.
 struct Call<'a> {
     parts: Parts,
     upload: &'a Upload<Incoming>,
@@ -42,72 +43,74 @@
     idempotent: bool,
 }
 
-/// One attempt that gave no answer to pass on.
-struct Failed {
+/// An attempt that produced no response to forward.
+struct FailedAttempt {
     failure: Failure,
     state: AttemptState,
 }
 
-/// What happened on the connection of one attempt.
+/// What has been sent on the connection of one attempt.
 #[derive(Debug)]
-struct Sent<'a> {
-    byte_left: bool,
-    body_done: &'a AtomicBool,
+struct SentProgress<'a> {
+    bytes_sent: bool,
+    body_sent: &'a AtomicBool,
 }
 
-impl SendProgress for Sent<'_> {
+impl SendProgress for SentProgress<'_> {
     fn has_sent_bytes(&self) -> bool {
-        self.byte_left
+        self.bytes_sent
     }
 
     fn has_sent_body(&self) -> bool {
-        self.body_done.load(Ordering::Acquire)
+        self.body_sent.load(Ordering::Acquire)
     }
 }
 
-/// Carries a request that arrived at `arrived`.
+/// Forwards a request that arrived at `arrived`.
 ///
 /// # Errors
 ///
-/// A refusal, which is as not run only when no backend server ran the request.
-pub(crate) async fn carry(
+/// Returns a refusal. It says "not run" only when no backend server ran the
+/// request.
+pub(crate) async fn forward(
     entry: &Arc<Entry>,
     req: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Response<Body>, Refusal> {
     let (parts, body) = req.into_parts();
     let upload = Upload::new(body);
-    let answer = carry_parts(entry, parts, &upload, arrived).await;
-    if answer.is_err() && !upload.is_ended() {
-        tokio::spawn(read_rest(upload));
+    let response = forward_request(entry, parts, &upload, arrived).await;
+    if response.is_err() && !upload.is_ended() {
+        tokio::spawn(discard_upload(upload));
     }
-    answer
+    response
 }
 
-/// Reads what a caller still sends after a refusal. Closing the connection
-/// under it would reset the connection, and the refusal would be lost.
-async fn read_rest(upload: Upload<Incoming>) {
-    let _ = tokio::time::timeout(REST_TIME, upload.buffer()).await;
+/// Reads and discards what a caller still sends after a refusal. Closing the
+/// connection before that would reset it, and the caller would lose the
+/// refusal.
+async fn discard_upload(upload: Upload<Incoming>) {
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, upload.buffer()).await;
 }
 
-async fn carry_parts(
+async fn forward_request(
     entry: &Arc<Entry>,
     mut parts: Parts,
     upload: &Upload<Incoming>,
     arrived: Instant,
 ) -> Result<Response<Body>, Refusal> {
-    check_form(&parts)?;
+    check_request(&parts)?;
     let deadline = arrived + request::deadline_of(&parts.headers)?;
     let idempotency_key = request::idempotency_key_of(&parts.headers)?.map(str::to_owned);
     let view = entry.in_force.load_full();
-    let (service, access) = service_of(&view, &parts.uri)?;
+    let (service, access) = find_service(&view, &parts.uri)?;
     let key = match access {
         Access::Open => None,
-        Access::Key => Some(key_of(&parts)?),
+        Access::Key => Some(parse_key(&parts)?),
     };
     let team = key
         .as_ref()
-        .map(|key| team_of(entry, &view, key))
+        .map(|key| find_team(entry, &view, key))
         .transpose()?;
     request::prepare_request(&mut parts.headers, team.as_ref());
     let call = Call {
@@ -119,8 +122,8 @@
         team,
         deadline,
     };
-    entry.with_budget(request::RetryBudget::count_request);
-    keep_small_body(&call).await?;
+    entry.with_retry_budget(request::RetryBudget::count_request);
+    buffer_small_body(&call).await?;
     if let Some(team) = &call.team {
         entry.admission.admit(team, deadline).await?;
     }
@@ -128,15 +131,18 @@
         Some(key) if !call.idempotent => Some(claim_key(entry, &call, &key).await?),
         _ => None,
     };
-    let answer = send_until_settled(entry, &call, claim.as_mut()).await;
-    let end = answer.as_ref().map(|a| a.status().as_u16()).map_err(|r| *r);
-    settle(claim, end).await;
-    answer
+    let response = send_with_retries(entry, &call, claim.as_mut()).await;
+    let end = response
+        .as_ref()
+        .map(|a| a.status().as_u16())
+        .map_err(|r| *r);
+    record_outcome(claim, end).await;
+    response
 }
 
-/// A well-formed request has a version whose answers tell their end, and
-/// shows its key in no place that a backend server sees.
-fn check_form(parts: &Parts) -> Result<(), Refusal> {
+/// Checks that the HTTP version marks the end of responses, and that the API
+/// key does not appear in the path or query, which backend servers see.
+fn check_request(parts: &Parts) -> Result<(), Refusal> {
     if parts.version < Version::HTTP_11 || parts.method == Method::CONNECT {
         return Err(Refusal::not_run(Cause::BadRequest));
     }
@@ -146,7 +152,7 @@
     Ok(())
 }
 
-fn service_of(view: &InForce, uri: &Uri) -> Result<(ServiceName, Access), Refusal> {
+fn find_service(view: &InForce, uri: &Uri) -> Result<(ServiceName, Access), Refusal> {
     let name = uri.path().trim_start_matches('/').split('/').next();
     let service = view
         .config
@@ -158,7 +164,7 @@
         .ok_or(Refusal::not_run(Cause::UnknownService))
 }
 
-fn key_of(parts: &Parts) -> Result<KeySecret, Refusal> {
+fn parse_key(parts: &Parts) -> Result<KeySecret, Refusal> {
     parts
         .headers
         .get(AUTHORIZATION)
@@ -168,7 +174,7 @@
         .ok_or(Refusal::not_run(Cause::KeyMissing))
 }
 
-fn team_of(entry: &Entry, view: &InForce, key: &KeySecret) -> Result<TeamName, Refusal> {
+fn find_team(entry: &Entry, view: &InForce, key: &KeySecret) -> Result<TeamName, Refusal> {
     if !entry.is_valid(Instant::now()) {
         return Err(Refusal::not_run(Cause::Isolated));
     }
@@ -178,9 +184,9 @@
         .ok_or(Refusal::not_run(Cause::KeyRefused))
 }
 
-/// Reads a small body before the request takes a slot, so that it can be sent
-/// again, and a slow caller holds nothing.
-async fn keep_small_body(call: &Call<'_>) -> Result<(), Refusal> {
+/// Buffers a small body before the request takes a slot. The body can then be
+/// sent again, and a slow caller does not occupy a slot while uploading.
+async fn buffer_small_body(call: &Call<'_>) -> Result<(), Refusal> {
     if !call.upload.fits_buffer() {
         return Ok(());
     }
@@ -194,15 +200,16 @@
 
 async fn claim_key(entry: &Entry, call: &Call<'_>, key: &str) -> Result<Claim, Refusal> {
     let Parts { method, uri, .. } = &call.parts;
-    let claiming = entry.guard.claim(call.team.as_ref(), key, method, uri);
-    tokio::time::timeout_at(call.deadline.into(), claiming)
+    let claim = entry.guard.claim(call.team.as_ref(), key, method, uri);
+    tokio::time::timeout_at(call.deadline.into(), claim)
         .await
         .unwrap_or(Err(Refusal::not_run(Cause::DeadlinePassed)))
 }
 
-/// Records how the attempt ended. After a refusal as not run the key is free
-/// before the caller reads the refusal, if the store answers soon.
-async fn settle(claim: Option<Claim>, end: Result<u16, Refusal>) {
+/// Records how the request ended. After a "not run" refusal, the idempotency
+/// key is released before the caller receives the refusal, provided that the
+/// store responds soon enough.
+async fn record_outcome(claim: Option<Claim>, end: Result<u16, Refusal>) {
     let Some(claim) = claim else { return };
     match end {
         Ok(status) => claim.done(status),
@@ -211,7 +218,7 @@
     }
 }
 
-async fn send_until_settled(
+async fn send_with_retries(
     entry: &Arc<Entry>,
     call: &Call<'_>,
     mut claim: Option<&mut Claim>,
@@ -220,25 +227,26 @@
     let mut may_have_run = false;
     let mut refusal = None;
     for attempts in 1.. {
-        let (slot, view) = match take_slot(entry, call, avoid.clone()).await {
-            Ok(taken) => taken,
-            // The earlier failure says more than that no endpoint is left.
+        let (slot, view) = match acquire_slot(entry, call, avoid.clone()).await {
+            Ok(acquired) => acquired,
+            // The earlier failure is more informative than "no endpoint is
+            // left".
             Err(last) => return Err(refusal.unwrap_or(last)),
         };
         let endpoint = slot.endpoint();
-        let failed = match attempt(entry, call, &view, slot, claim.as_deref_mut()).await {
-            Ok(answer) => return Ok(answer),
+        let failed = match run_attempt(entry, call, &view, slot, claim.as_deref_mut()).await {
+            Ok(response) => return Ok(response),
             Err(failed) => failed,
         };
         let now = Instant::now();
-        let situation = RetryContext {
+        let context = RetryContext {
             state: failed.state,
             idempotent: call.idempotent,
             replayable: call.upload.is_replayable(),
             earlier_may_have_run: may_have_run,
             attempts,
             max_attempts: request::MAX_ATTEMPTS,
-            budget_available: entry.with_budget(|budget| budget.can_spend(now)),
+            budget_available: entry.with_retry_budget(|budget| budget.can_spend(now)),
             deadline: call.deadline,
             now,
         };
@@ -246,17 +254,18 @@
         if !may_have_run && let Some(claim) = claim.as_deref_mut() {
             claim.not_run();
         }
-        match request::next_step(failed.failure, &situation) {
+        match request::next_step(failed.failure, &context) {
             NextStep::RefuseNotRun(cause) => return Err(Refusal::not_run(cause)),
             NextStep::RefuseUnknown(cause) => return Err(Refusal::unknown(cause)),
-            // Answers that began are passed on and abort in their stream.
+            // Not reached in practice: a response that has started is
+            // forwarded, and is aborted within its stream.
             NextStep::AbortResponse => return Err(Refusal::unknown(Cause::BackendFailed)),
             NextStep::Retry {
                 elsewhere,
                 spends_budget,
             } => {
-                let last_failure = refusal_after(&failed, &situation, may_have_run);
-                if spends_budget && !entry.with_budget(|budget| budget.spend(now)) {
+                let last_failure = refusal_without_retry(&failed, &context, may_have_run);
+                if spends_budget && !entry.with_retry_budget(|budget| budget.spend(now)) {
                     return Err(last_failure);
                 }
                 refusal = Some(last_failure);
@@ -269,11 +278,16 @@
     Err(Refusal::unknown(Cause::BackendFailed))
 }
 
-/// The refusal of a request that could be sent again, but cannot in fact.
-fn refusal_after(failed: &Failed, situation: &RetryContext, may_have_run: bool) -> Refusal {
+/// Returns the refusal for a request that may be sent again, in case that no
+/// further attempt can be made.
+fn refusal_without_retry(
+    failed: &FailedAttempt,
+    context: &RetryContext,
+    may_have_run: bool,
+) -> Refusal {
     let last = RetryContext {
         replayable: false,
-        ..*situation
+        ..*context
     };
     match request::next_step(failed.failure, &last) {
         NextStep::RefuseNotRun(cause) if !may_have_run => Refusal::not_run(cause),
@@ -282,64 +296,64 @@
     }
 }
 
-/// Waits for a slot. The key is checked again after the wait, because it may
-/// have been withdrawn meanwhile.
-async fn take_slot(
+/// Waits for a slot. The key is checked again afterwards, because it may have
+/// been withdrawn during the wait.
+async fn acquire_slot(
     entry: &Entry,
     call: &Call<'_>,
     avoid: Vec<SocketAddr>,
 ) -> Result<(SlotGrant, Arc<InForce>), Refusal> {
-    if time_left(call) < MIN_DEADLINE {
+    if remaining_time(call) < MIN_DEADLINE {
         return Err(Refusal::not_run(Cause::DeadlinePassed));
     }
-    let ask = SlotAsk {
+    let criteria = SlotCriteria {
         service: call.service.clone(),
         team: call.team.clone(),
         deadline: call.deadline,
         avoid,
     };
     let view = entry.in_force.load_full();
-    let slot = entry.slots.acquire(&view, &ask).await?;
+    let slot = entry.slots.acquire(&view, &criteria).await?;
     let view = entry.in_force.load_full();
     if let Some(key) = &call.key {
-        team_of(entry, &view, key)?;
+        find_team(entry, &view, key)?;
     }
     Ok((slot, view))
 }
 
-async fn attempt(
+async fn run_attempt(
     entry: &Arc<Entry>,
     call: &Call<'_>,
     view: &InForce,
     slot: SlotGrant,
     claim: Option<&mut Claim>,
-) -> Result<Response<Body>, Failed> {
+) -> Result<Response<Body>, FailedAttempt> {
     let endpoint = slot.endpoint();
-    let need = CheckoutParams {
+    let params = CheckoutParams {
         endpoint,
         limit: connection_limit(view, &call.service),
         idempotent: call.idempotent,
         deadline: call.deadline,
     };
     let attempt = Attempt::start();
-    let mut connection = match entry.pool.checkout(&need).await {
+    let mut connection = match entry.pool.checkout(&params).await {
         Ok(connection) => connection,
         Err(error) => {
             if matches!(error, PoolError::Connect { .. }) {
-                slot.faulted(EndpointFault::Unreachable);
+                slot.release_with_fault(EndpointFault::Unreachable);
             }
-            return Err(not_connected(&error));
+            return Err(checkout_failure(&error));
         }
     };
-    let (body, body_done) = call.upload.body();
-    let Some(req) = request_for(call, endpoint, body) else {
+    let (body, body_sent) = call.upload.body();
+    let Some(req) = build_request(call, endpoint, body) else {
         return Err(not_sent(Failure::DeadlinePassed));
     };
     if let Some(claim) = claim {
         claim.sending();
     }
-    let answer = match wait_for_answer(call, &mut connection, req).await {
-        Ok(answer) => answer,
+    let response = match wait_for_response(call, &mut connection, req).await {
+        Ok(response) => response,
         Err(failure) => {
             if matches!(
                 failure,
@@ -347,72 +361,73 @@
             ) {
                 entry.pool.close_idle(endpoint);
             }
-            let sent = Sent {
-                byte_left: connection.close().await,
-                body_done: &body_done,
+            let sent = SentProgress {
+                bytes_sent: connection.close().await,
+                body_sent: &body_sent,
             };
-            let failure = call.upload.fault().map_or(failure, failure_of_caller);
+            let failure = call.upload.fault().map_or(failure, upload_failure);
             let state = attempt.observe(&sent).state();
-            return Err(Failed { failure, state });
+            return Err(FailedAttempt { failure, state });
         }
     };
-    let sent = Sent {
-        byte_left: connection.has_sent_bytes(),
-        body_done: &body_done,
+    let sent = SentProgress {
+        bytes_sent: connection.has_sent_bytes(),
+        body_sent: &body_sent,
     };
     let state = match attempt.observe(&sent).response_started() {
-        Ok(begun) => begun.state(),
+        Ok(started) => started.state(),
         Err(_) => return Err(not_sent(Failure::ConnectionLost { reused: true })),
     };
-    if let Some(failure) = explicit_refusal(&answer) {
-        slot.faulted(match failure {
+    if let Some(failure) = explicit_refusal(&response) {
+        slot.release_with_fault(match failure {
             Failure::Draining => EndpointFault::Draining,
             _ => EndpointFault::Shed,
         });
-        if answer.body().is_end_stream() && body_done.load(Ordering::Acquire) {
+        if response.body().is_end_stream() && body_sent.load(Ordering::Acquire) {
             entry.pool.put_back(connection.finish(Instant::now()));
         }
-        return Err(Failed { failure, state });
+        return Err(FailedAttempt { failure, state });
     }
-    if !tells_its_end(&call.parts.method, &answer) {
+    if !marks_its_end(&call.parts.method, &response) {
         let failure = Failure::MalformedResponse;
-        return Err(Failed { failure, state });
+        return Err(FailedAttempt { failure, state });
     }
-    let (mut parts, body) = answer.into_parts();
+    let (mut parts, body) = response.into_parts();
     request::remove_hop_by_hop(&mut parts.headers);
-    let stream = AnswerStream::new(entry, body, connection, body_done, slot, call.deadline);
+    let stream = ResponseStream::new(entry, body, connection, body_sent, slot, call.deadline);
     Ok(Response::from_parts(parts, stream.boxed_unsync()))
 }
 
-async fn wait_for_answer(
+async fn wait_for_response(
     call: &Call<'_>,
     connection: &mut Connection<Busy>,
     req: Request<crate::connection::RequestBody>,
 ) -> Result<Response<Incoming>, Failure> {
     let reused = connection.is_reused();
-    let patience = Instant::now() + SILENCE_PATIENCE;
-    let impatient =
-        reused && call.idempotent && call.upload.is_buffered() && patience < call.deadline;
-    let (until, silence) = if impatient {
-        (patience, Failure::ConnectionTimedOut)
+    let resend_at = Instant::now() + REUSED_CONNECTION_TIMEOUT;
+    let resend_early =
+        reused && call.idempotent && call.upload.is_buffered() && resend_at < call.deadline;
+    let (until, timeout_failure) = if resend_early {
+        (resend_at, Failure::ConnectionTimedOut)
     } else {
         (call.deadline, Failure::DeadlinePassed)
     };
     match tokio::time::timeout_at(until.into(), connection.send(req)).await {
-        Ok(Ok(answer)) => Ok(answer),
+        Ok(Ok(response)) => Ok(response),
         Ok(Err(_)) => Err(Failure::ConnectionLost { reused }),
-        Err(_) => Err(silence),
+        Err(_) => Err(timeout_failure),
     }
 }
 
-/// The request as the backend server gets it; `None` when no time is left.
-fn request_for(
+/// Builds the request for the backend server. Returns `None` when too little
+/// time is left before the deadline.
+fn build_request(
     call: &Call<'_>,
     endpoint: SocketAddr,
     body: request::UploadBody<Incoming>,
 ) -> Option<Request<crate::connection::RequestBody>> {
-    let left = time_left(call);
-    if left < MIN_DEADLINE {
+    let time_left = remaining_time(call);
+    if time_left < MIN_DEADLINE {
         return None;
     }
     let target = call.parts.uri.path_and_query()?.as_str();
@@ -425,31 +440,33 @@
     let headers = req.headers_mut();
     headers.clone_from(&call.parts.headers);
     headers.insert(HOST, HeaderValue::from_str(&endpoint.to_string()).ok()?);
-    let left = u64::try_from(left.as_millis()).ok()?;
-    headers.insert(DEADLINE_HEADER, HeaderValue::from(left));
+    let time_left = u64::try_from(time_left.as_millis()).ok()?;
+    headers.insert(DEADLINE_HEADER, HeaderValue::from(time_left));
     if chunked {
-        // hyper leaves out the body of a GET without this header.
+        // hyper omits the body of a GET request without this header.
         headers.insert(TRANSFER_ENCODING, HeaderValue::from_static("chunked"));
     }
     Some(req)
 }
 
-fn time_left(call: &Call<'_>) -> Duration {
+fn remaining_time(call: &Call<'_>) -> Duration {
     call.deadline.saturating_duration_since(Instant::now())
 }
 
-/// Connections that this VM may have open to one endpoint of a service.
+/// Returns how many connections this VM may have open to one endpoint of a
+/// service: the endpoint's limit divided by the number of VMs, and at least
+/// one.
 fn connection_limit(view: &InForce, service: &ServiceName) -> usize {
     let connections = view
         .config
         .as_deref()
         .and_then(|cfg| cfg.services.get(service))
         .map_or(1, |service| service.connections as usize);
-    // A leaving VM still has connections open.
+    // Leaving VMs are counted, because they still have connections open.
     (connections / view.vms.len().max(1)).max(1)
 }
 
-fn not_connected(error: &PoolError) -> Failed {
+fn checkout_failure(error: &PoolError) -> FailedAttempt {
     match error {
         PoolError::Connect { .. } => {
             log::debug!("event=backend_unreachable error={}", logfmt::value(&error));
@@ -459,40 +476,41 @@
     }
 }
 
-fn not_sent(failure: Failure) -> Failed {
-    Failed {
+fn not_sent(failure: Failure) -> FailedAttempt {
+    FailedAttempt {
         failure,
         state: AttemptState::NotSent,
     }
 }
 
-fn failure_of_caller(fault: UploadError) -> Failure {
+fn upload_failure(fault: UploadError) -> Failure {
     match fault {
         UploadError::Slow => Failure::CallerSlow,
         UploadError::Cut | UploadError::Superseded => Failure::CallerGone,
     }
 }
 
-fn explicit_refusal(answer: &Response<Incoming>) -> Option<Failure> {
-    if answer.status() != StatusCode::SERVICE_UNAVAILABLE {
+fn explicit_refusal(response: &Response<Incoming>) -> Option<Failure> {
+    if response.status() != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
-    let marked = |name| answer.headers().get(name).is_some_and(|mark| mark == "1");
-    if marked("x-drain") {
+    let has_mark = |name| response.headers().get(name).is_some_and(|mark| mark == "1");
+    if has_mark("x-drain") {
         Some(Failure::Draining)
-    } else if marked("x-shed") {
+    } else if has_mark("x-shed") {
         Some(Failure::Shed)
     } else {
         None
     }
 }
 
-/// An answer that ends with its connection looks whole when it is cut, so
-/// that a caller could not tell.
-fn tells_its_end(method: &Method, answer: &Response<Incoming>) -> bool {
+/// Returns whether the response marks the end of its body by a length or by
+/// chunked encoding. A response that ends when its connection closes looks
+/// complete even if it was cut, and a caller could not detect that.
+fn marks_its_end(method: &Method, response: &Response<Incoming>) -> bool {
     let bodiless = method == Method::HEAD
-        || answer.status() == StatusCode::NO_CONTENT
-        || answer.status() == StatusCode::NOT_MODIFIED;
-    let headers = answer.headers();
+        || response.status() == StatusCode::NO_CONTENT
+        || response.status() == StatusCode::NOT_MODIFIED;
+    let headers = response.headers();
     bodiless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/crates/filbertgrade/src/process/entry/links.rs
+++ b/crates/filbertgrade/src/process/entry/links.rs
@@ -1,4 +1,4 @@
-//! Links to the entries of the other VMs.
+//! Links to the entry processes of the other VMs.
 
 use std::net::SocketAddr;
 use std::sync::RwLock;
@@ -11,7 +11,7 @@
 use crate::sync::{read, write};
 use crate::version::InForce;
 
-/// One link for each VM of the platform's list but the own one.
+/// One link for each VM on the platform's list except this VM.
 #[derive(Debug)]
 pub(crate) struct PeerLinks {
     settings: NodeSettings,
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Follows the platform's list. A VM that is leaving keeps its link,
-    /// because loans may have to be given back to it.
+    /// Adds and removes links according to the platform's list of VMs. A VM
+    /// that is leaving keeps its link, because loans may have to be returned to
+    /// it.
     pub(crate) fn update(&self, view: &InForce) {
         let mut peers = write(&self.peers);
         let mut next = IndexMap::new();
@@ -51,18 +52,20 @@
         *peers = next;
     }
 
-    /// The link to one VM.
-    pub(crate) fn to(&self, vm: &VmName) -> Option<PeerLink> {
+    /// Returns the link to `vm`, or `None` when it is not on the platform's
+    /// list.
+    pub(crate) fn link_to(&self, vm: &VmName) -> Option<PeerLink> {
         let peers = read(&self.peers);
         peers.get(vm).map(|peer| peer.link.clone())
     }
 
-    /// `count` peers, other ones with each `turn` until all had theirs.
-    pub(crate) fn next_peers(&self, count: usize, turn: usize) -> Vec<(VmName, PeerLink)> {
+    /// Returns up to `count` peers for round `turn`. Successive rounds go
+    /// through all peers in turn.
+    pub(crate) fn next_peers(&self, count: usize, round: usize) -> Vec<(VmName, PeerLink)> {
         let peers = read(&self.peers);
         let total = peers.len();
         (0..count.min(total))
-            .filter_map(|n| peers.get_index((turn * count + n) % total))
+            .filter_map(|n| peers.get_index((round * count + n) % total))
             .map(|(vm, peer)| (vm.clone(), peer.link.clone()))
             .collect()
     }
--- a/crates/filbertgrade/src/process/entry/lookup.rs
+++ b/crates/filbertgrade/src/process/entry/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which VMs a caller should use.
+//! Look-ups: which VMs a caller should send its requests to.
 
 use std::net::IpAddr;
 
@@ -7,10 +7,11 @@
 
 use crate::version::{InForce, VmRecord, client_hash, client_point};
 
-/// Most VMs named in one answer; callers try them in order.
-const MOST_VMS: usize = 4;
+/// Maximum number of VMs in one answer. Callers try them in the order given.
+const MAX_VMS: usize = 4;
 
-/// Answer to a look-up.
+/// Answer to a look-up: VMs in the order in which the client should try them,
+/// and how long the answer may be cached.
 #[derive(Debug, Serialize)]
 pub struct LookupAnswer {
     ttl_ms: u64,
@@ -24,28 +25,30 @@
     region: String,
 }
 
-/// Orders the VMs for a client.
+/// Selects and orders the VMs for a client.
 ///
-/// The region comes from the client blocks, or else by the weights, and VMs of
-/// a region are spread by the client's address. The other regions follow. The
-/// own VM is left out while it is `leaving`.
+/// The first region is that of the client's address block or, when there is
+/// none, one chosen according to the steering weights. Within a region, clients
+/// are spread across VMs by their address. The VMs of other regions follow.
+/// This VM is omitted while it is `leaving`.
 #[must_use]
 pub fn answer(view: &InForce, client: IpAddr, port: u16, leaving: Option<&VmName>) -> LookupAnswer {
     let clients = view.clients.as_deref();
     let region = clients.and_then(|clients| clients.region_of(client));
     let hash = client_hash(client) as usize;
-    let mut vms: Vec<&VmRecord> = Vec::with_capacity(MOST_VMS);
+    let mut vms: Vec<&VmRecord> = Vec::with_capacity(MAX_VMS);
     let mut regions = view
         .routes
         .vms_for(region, client_point(client))
         .enumerate()
         .peekable();
-    while let Some((n, (_, of_region))) = regions.next() {
-        let (before, after) = of_region.split_at(hash % of_region.len());
+    while let Some((n, (_, region_vms))) = regions.next() {
+        let (before, after) = region_vms.split_at(hash % region_vms.len());
         let in_order = after.iter().chain(before).map(AsRef::as_ref);
-        // The first region leaves one place for another, in case it is away.
-        let room = MOST_VMS - vms.len() - usize::from(n == 0 && regions.peek().is_some());
-        vms.extend(in_order.filter(|vm| Some(&vm.name) != leaving).take(room));
+        // The first region leaves one position for another region, in case the
+        // whole first region is unreachable.
+        let limit = MAX_VMS - vms.len() - usize::from(n == 0 && regions.peek().is_some());
+        vms.extend(in_order.filter(|vm| Some(&vm.name) != leaving).take(limit));
     }
     LookupAnswer {
         ttl_ms: view
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -1,15 +1,16 @@
-//! The entry: answers look-ups and carries requests to backend servers.
+//! The entry process: answers look-ups and forwards requests to backend
+//! servers.
 
 mod admission;
-mod answer;
 mod caller;
 mod caller_io;
-mod carry;
 mod dump;
 mod feed;
+mod forward;
 mod links;
 pub mod lookup;
 mod peers;
+mod response;
 mod shutdown;
 mod slots;
 mod spill;
@@ -36,19 +37,20 @@
 use crate::sync::lock;
 use crate::version::InForce;
 
-/// Time between looks for connections that waited too long.
+/// Interval between two scans for idle connections to backend servers that have
+/// expired.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the entry stopped.
+/// Why the entry could not start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EntryError {
-    /// An address cannot be bound.
+    /// A listening address could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
@@ -58,25 +60,28 @@
 pub(crate) struct Entry {
     pub(crate) settings: NodeSettings,
     pub(crate) in_force: Arc<ArcSwap<InForce>>,
-    /// Until when the state in force may be relied on.
+    /// Until when the state in force may be relied on; `None` when the VM is
+    /// isolated or its agent has not yet confirmed the state.
     pub(crate) valid_until: ArcSwap<Option<Instant>>,
-    /// Links to the entries of the other VMs.
+    /// Links to the entry processes of the other VMs.
     pub(crate) links: Arc<PeerLinks>,
-    /// Teams' rates and bursts.
+    /// Enforces the rates and bursts of teams.
     pub(crate) admission: Admission,
-    /// Slots of endpoints.
+    /// Assigns slots of endpoints to requests.
     pub(crate) slots: Slots,
-    /// Connections to backend servers.
+    /// Pooled connections to backend servers.
     pub(crate) pool: Pool,
-    /// Idempotency keys.
+    /// Ensures that a request with an idempotency key runs at most once.
     pub(crate) guard: Guard,
-    /// Callers' connections.
-    pub(crate) callers: Tasks,
-    /// Callers' connections beyond the limit, while they are refused.
-    pub(crate) turned_away: Tasks,
-    /// Work that outlives its request.
+    /// Open connections of callers.
+    pub(crate) caller_connections: Tasks,
+    /// Connections beyond the limit, for as long as the refusal is being
+    /// written.
+    pub(crate) refused_callers: Tasks,
+    /// Tasks that may outlive the request that started them, such as recording
+    /// an attempt.
     background: Tasks,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     leaving: AtomicBool,
 }
 
@@ -91,10 +96,10 @@
             slots: Slots::new(settings.clone(), Arc::clone(&in_force), Arc::clone(&links)),
             pool: Pool::new(settings.address),
             guard: Guard::new(platform, background.clone()),
-            callers: Tasks::default(),
-            turned_away: Tasks::default(),
+            caller_connections: Tasks::default(),
+            refused_callers: Tasks::default(),
             background,
-            budget: Mutex::new(RetryBudget::new(Instant::now())),
+            retry_budget: Mutex::new(RetryBudget::new(Instant::now())),
             leaving: AtomicBool::new(false),
             settings,
             links,
@@ -103,25 +108,26 @@
         }
     }
 
-    /// The view in force.
+    /// Returns the state that is in force now.
     pub(crate) fn view(&self) -> Arc<InForce> {
         self.in_force.load_full()
     }
 
-    /// The VM can tell that its state is still valid.
+    /// Returns whether the agent's confirmation of the state is still valid at
+    /// `now`.
     pub(crate) fn is_valid(&self, now: Instant) -> bool {
         self.valid_until.load().is_some_and(|until| now <= until)
     }
 
-    /// The process was told to stop.
+    /// Returns whether the process has been asked to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Uses the retry budget.
-    pub(crate) fn with_budget<R>(&self, f: impl FnOnce(&mut RetryBudget) -> R) -> R {
-        let mut budget = lock(&self.budget);
-        f(&mut budget)
+    /// Runs `f` while holding the lock on the retry budget.
+    pub(crate) fn with_retry_budget<R>(&self, f: impl FnOnce(&mut RetryBudget) -> R) -> R {
+        let mut retry_budget = lock(&self.retry_budget);
+        f(&mut retry_budget)
     }
 }
 
@@ -129,7 +135,7 @@
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound.
+/// Returns an error when a listening address cannot be bound.
 pub async fn run(
     settings: NodeSettings,
     stop: impl Future<Output = ()> + Send,
@@ -138,7 +144,7 @@
     let listener = listen(address).await?;
     let peer_address = SocketAddr::new(settings.address, settings.ports.entry_peer);
     let peer_listener = listen(peer_address).await?;
-    let operators = listen(SocketAddr::new(
+    let operator_listener = listen(SocketAddr::new(
         settings.address,
         settings.ports.entry_operator,
     ))
@@ -146,14 +152,14 @@
     log::info!("event=entry_started vm={} address={address}", settings.vm);
     let entry = Arc::new(Entry::new(settings));
     operator::record_metrics();
-    tokio::spawn(dump::operator_port(&entry).serve(operators));
+    tokio::spawn(dump::operator_port(&entry).serve(operator_listener));
     tokio::spawn(feed::follow_agent(Arc::clone(&entry)));
     tokio::spawn(serve_peers(Arc::clone(&entry), peer_listener));
     tokio::spawn(close_expired(Arc::clone(&entry)));
     let close = watch::Sender::new(false);
-    let leave = shutdown::leave_after(&entry, stop);
+    let leave = shutdown::leave_on(&entry, stop);
     caller::serve(&entry, listener, &close.subscribe(), leave).await;
-    shutdown::finish(&entry, &close).await;
+    shutdown::stop_gracefully(&entry, &close).await;
     Ok(())
 }
 
@@ -166,7 +172,7 @@
 
 async fn serve_peers(entry: Arc<Entry>, listener: TcpListener) {
     serve_frames(listener, move |_peer, body| {
-        peers::answer(Arc::clone(&entry), body)
+        peers::handle(Arc::clone(&entry), body)
     })
     .await;
 }
--- a/crates/filbertgrade/src/process/entry/peers.rs
+++ b/crates/filbertgrade/src/process/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the entries of other VMs.
+//! Handles messages from the entry processes of other VMs.
 
 use std::sync::Arc;
 
@@ -6,12 +6,12 @@
 use crate::logfmt;
 use crate::wire::{Body, Borrow, Loan, LoanMessageError, LoanRenewed, RenewLoan, ReturnLoan};
 
-pub(crate) async fn answer(entry: Arc<Entry>, body: Body) -> Option<Body> {
+pub(crate) async fn handle(entry: Arc<Entry>, body: Body) -> Option<Body> {
     match body {
-        Body::Borrow(borrow) => answered(lend(&entry, borrow).map(Body::Loan)),
-        Body::RenewLoan(renewal) => answered(renew(&entry, renewal).map(Body::LoanRenewed)),
+        Body::Borrow(borrow) => reply_or_log(lend(&entry, borrow).map(Body::Loan)),
+        Body::RenewLoan(renewal) => reply_or_log(renew(&entry, renewal).map(Body::LoanRenewed)),
         Body::ReturnLoan(returned) => {
-            if let Err(error) = take_back(&entry, returned) {
+            if let Err(error) = accept_return(&entry, returned) {
                 log::warn!(
                     "event=peer_message_rejected error={}",
                     logfmt::value(&error)
@@ -30,8 +30,8 @@
 }
 
 fn lend(entry: &Entry, borrow: Borrow) -> Result<Loan, LoanMessageError> {
-    let (team, ask) = borrow.try_into()?;
-    Ok(entry.admission.lend(&team, &ask).into())
+    let (team, request) = borrow.try_into()?;
+    Ok(entry.admission.lend(&team, &request).into())
 }
 
 fn renew(entry: &Entry, renewal: RenewLoan) -> Result<LoanRenewed, LoanMessageError> {
@@ -39,13 +39,13 @@
     Ok(entry.admission.renew(&team, &renewal).into())
 }
 
-fn take_back(entry: &Entry, returned: ReturnLoan) -> Result<(), LoanMessageError> {
+fn accept_return(entry: &Entry, returned: ReturnLoan) -> Result<(), LoanMessageError> {
     let (team, returned) = returned.try_into()?;
-    entry.admission.take_back(&team, &returned);
+    entry.admission.accept_return(&team, &returned);
     Ok(())
 }
 
-fn answered(reply: Result<Body, LoanMessageError>) -> Option<Body> {
+fn reply_or_log(reply: Result<Body, LoanMessageError>) -> Option<Body> {
     reply
         .inspect_err(|error| {
             log::warn!(
--- a/crates/filbertgrade/src/process/entry/answer.rs
+++ b/crates/filbertgrade/src/process/entry/response.rs
@@ -1,4 +1,5 @@
-//! Answers to callers: passed on from backend servers, or the entry's own.
+//! Responses to callers: forwarded from backend servers, or created by the
+//! entry.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,47 +23,49 @@
 use crate::request::Refusal;
 use crate::sync::lock;
 
-/// Body of an answer to a caller.
-pub(crate) type Body = UnsyncBoxBody<Bytes, AnswerError>;
+/// Body of a response to a caller.
+pub(crate) type Body = UnsyncBoxBody<Bytes, ResponseError>;
 
-/// Why an answer ends as an aborted stream.
+/// Why the body of a response is aborted.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum AnswerError {
-    /// The backend server's answer ended before its end.
+pub(crate) enum ResponseError {
+    /// The backend server's response ended before its announced end.
     #[error("the backend server's answer is cut: {0}")]
     Cut(hyper::Error),
-    /// The caller's deadline passed before the end of the answer.
+    /// The caller's deadline passed before the response was complete.
     #[error("the deadline passed before the end of the answer")]
     DeadlinePassed,
 }
 
-/// A backend server's answer on its way to the caller.
+/// Body of a backend server's response while it is streamed to the caller.
 ///
 /// Dropping it before its end closes the connection to the backend server,
 /// which cancels the request there.
 #[derive(Debug)]
-pub(crate) struct AnswerStream {
+pub(crate) struct ResponseStream {
     inner: Incoming,
-    held: Arc<Mutex<Held>>,
-    /// Ends what is held at the deadline, also when the caller does not read.
+    resources: Arc<Mutex<HeldResources>>,
+    /// Releases the resources at the deadline, even when the caller does not
+    /// read the response.
     timer: JoinHandle<()>,
-    /// The whole request was sent. If not, the connection cannot be reused.
+    /// Set once the whole request has been sent. Otherwise the connection
+    /// cannot be reused.
     request_sent: Arc<AtomicBool>,
     entry: Arc<Entry>,
 }
 
-/// What an answer takes until it was passed on.
+/// Resources that a response occupies until it has been forwarded.
 #[derive(Debug)]
-struct Held {
-    /// Closed when dropped, put back into the pool after the whole answer.
+struct HeldResources {
+    /// Closed when dropped; returned to the pool after the complete response.
     connection: Option<Connection<Busy>>,
-    /// Busy until the whole answer was passed on.
+    /// Kept until the complete response has been forwarded.
     slot: Option<SlotGrant>,
-    /// The deadline passed before the end of the answer.
+    /// Set when the deadline passed before the response was complete.
     expired: bool,
 }
 
-impl AnswerStream {
+impl ResponseStream {
     pub(crate) fn new(
         entry: &Arc<Entry>,
         inner: Incoming,
@@ -71,32 +74,33 @@
         slot: SlotGrant,
         deadline: Instant,
     ) -> Self {
-        let held = Arc::new(Mutex::new(Held {
+        let resources = Arc::new(Mutex::new(HeldResources {
             connection: Some(connection),
             slot: Some(slot),
             expired: false,
         }));
-        let timer = tokio::spawn(expire(Arc::clone(&held), deadline));
+        let timer = tokio::spawn(expire(Arc::clone(&resources), deadline));
         let mut stream = Self {
             inner,
-            held,
+            resources,
             timer,
             request_sent,
             entry: Arc::clone(entry),
         };
-        stream.finish_at_end();
+        stream.finish_if_ended();
         stream
     }
 
-    /// hyper does not poll a body again that told its end.
-    fn finish_at_end(&mut self) {
+    /// Finishes at once when the last frame is known to be the last, because
+    /// hyper does not poll a body again after `is_end_stream` returned true.
+    fn finish_if_ended(&mut self) {
         if self.inner.is_end_stream() {
             self.finish();
         }
     }
 
     fn finish(&mut self) {
-        let connection = lock(&self.held).connection.take();
+        let connection = lock(&self.resources).connection.take();
         if let Some(connection) = connection
             && self.request_sent.load(Ordering::Acquire)
         {
@@ -104,61 +108,64 @@
         }
     }
 
-    fn abort(&mut self, error: hyper::Error) -> AnswerError {
-        let mut held = lock(&self.held);
-        held.connection = None;
-        if held.expired {
-            AnswerError::DeadlinePassed
+    fn abort(&mut self, error: hyper::Error) -> ResponseError {
+        let mut resources = lock(&self.resources);
+        resources.connection = None;
+        if resources.expired {
+            ResponseError::DeadlinePassed
         } else {
-            AnswerError::Cut(error)
+            ResponseError::Cut(error)
         }
     }
 }
 
-/// Closes the connection and frees the slot at the deadline. The stream then
-/// ends with an error, because the connection did.
-async fn expire(held: Arc<Mutex<Held>>, deadline: Instant) {
+/// Closes the connection and frees the slot at the deadline. The body stream
+/// then ends with an error, because its connection was closed.
+async fn expire(resources: Arc<Mutex<HeldResources>>, deadline: Instant) {
     tokio::time::sleep_until(deadline.into()).await;
-    let mut held = lock(&held);
-    held.expired = held.connection.is_some();
-    held.connection = None;
-    held.slot = None;
+    let mut resources = lock(&resources);
+    resources.expired = resources.connection.is_some();
+    resources.connection = None;
+    resources.slot = None;
 }
 
-impl Drop for AnswerStream {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         self.timer.abort();
-        // The aborted timer may keep its part for a moment.
-        let mut held = lock(&self.held);
-        held.connection = None;
-        held.slot = None;
+        // An aborted timer task may keep its reference for a moment longer, so
+        // the resources are released here.
+        let mut resources = lock(&self.resources);
+        resources.connection = None;
+        resources.slot = None;
     }
 }
 
-impl HttpBody for AnswerStream {
+impl HttpBody for ResponseStream {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = ResponseError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseError>>> {
         loop {
             let frame = ready!(Pin::new(&mut self.inner).poll_frame(cx));
             match frame {
                 Some(Ok(frame)) if frame.is_data() => {
-                    self.finish_at_end();
+                    self.finish_if_ended();
                     return Poll::Ready(Some(Ok(frame)));
                 }
-                // Trailers concern one connection only.
+                // Trailers are not forwarded: they apply to one connection
+                // only.
                 Some(Ok(_)) => {}
                 Some(Err(error)) => {
                     let error = self.abort(error);
                     return Poll::Ready(Some(Err(error)));
                 }
-                // The body must not look whole when its connection was closed here.
-                None if lock(&self.held).expired => {
-                    return Poll::Ready(Some(Err(AnswerError::DeadlinePassed)));
+                // The body must not look complete when the connection was
+                // closed by the deadline timer.
+                None if lock(&self.resources).expired => {
+                    return Poll::Ready(Some(Err(ResponseError::DeadlinePassed)));
                 }
                 None => {
                     self.finish();
@@ -177,7 +184,8 @@
     }
 }
 
-/// The entry's own answer to a request that no backend server answered.
+/// Builds the entry's own response to a request that got none from a backend
+/// server.
 pub(crate) fn refuse(refusal: &Refusal) -> Response<Body> {
     #[derive(Serialize)]
     struct RefusalBody {
@@ -188,8 +196,8 @@
         cause: refusal.cause().as_str(),
         outcome: refusal.outcome().as_str(),
     };
-    let mut answer = json(refusal.status(), &body);
-    let headers = answer.headers_mut();
+    let mut response = json(refusal.status(), &body);
+    let headers = response.headers_mut();
     headers.insert("filbertgrade-cause", HeaderValue::from_static(body.cause));
     headers.insert(
         "filbertgrade-outcome",
@@ -198,20 +206,20 @@
     if let Some(status) = refusal.recorded_status() {
         headers.insert("filbertgrade-attempt-status", HeaderValue::from(status));
     }
-    answer
+    response
 }
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = Response::new(
+    let mut response = Response::new(
         Full::new(Bytes::from(body))
             .map_err(|never| match never {})
             .boxed_unsync(),
     );
-    *answer.status_mut() = status;
-    answer
+    *response.status_mut() = status;
+    response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    response
 }
--- a/crates/filbertgrade/src/process/entry/shutdown.rs
+++ b/crates/filbertgrade/src/process/entry/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: no request is cut when the process is told to stop.
+//! Graceful shutdown: running requests are completed before the process exits.
 
 use std::future::Future;
 use std::sync::atomic::Ordering;
@@ -9,25 +9,28 @@
 use super::Entry;
 use crate::request::MAX_DEADLINE;
 
-/// Time besides the longest deadline for the last answers to be written.
-const MARGIN: Duration = Duration::from_secs(5);
+/// Time allowed in addition to the longest deadline for writing the last
+/// responses.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Longest time for returning loans, whose lease is 2 s.
-const RETURN_TIME: Duration = Duration::from_secs(2);
+/// Longest time for returning loans. Their lease is 2 s, so a loan that was not
+/// returned by then has expired.
+const LOAN_RETURN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time until a leaving VM's units are with other VMs: loans come back
-/// after at most 2.5 s, then every VM acknowledges the table without them.
-const UNITS_TIME: Duration = Duration::from_secs(5);
+/// Longest time until the units of a leaving VM have been moved to other VMs:
+/// loans return within 2.5 s, and then every VM acknowledges the share table
+/// that no longer contains the units.
+const UNIT_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at the share table.
-const UNITS_POLL: Duration = Duration::from_millis(50);
+/// Interval between two checks of the share table.
+const UNIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time for records of attempts after the last request.
-const BACKGROUND_TIME: Duration = Duration::from_secs(25);
+/// Longest time for recording attempts after the last request has ended.
+const BACKGROUND_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Waits for `stop`, then for as long as callers may use look-up answers that
-/// still name this VM.
-pub(crate) async fn leave_after(entry: &Entry, stop: impl Future<Output = ()>) {
+/// Waits for `stop` and marks the VM as leaving, then waits until the look-up
+/// answers that still contain this VM have expired.
+pub(crate) async fn leave_on(entry: &Entry, stop: impl Future<Output = ()>) {
     stop.await;
     entry.leaving.store(true, Ordering::Release);
     log::info!("event=leaving vm={}", entry.settings.vm);
@@ -39,42 +42,52 @@
     tokio::time::sleep(ttl).await;
 }
 
-/// Closes idle callers' connections and waits for running requests.
-pub(crate) async fn finish(entry: &Entry, close: &watch::Sender<bool>) {
+/// Closes idle connections of callers, waits for running requests, and returns
+/// the VM's loans and units.
+pub(crate) async fn stop_gracefully(entry: &Entry, close: &watch::Sender<bool>) {
     close.send_replace(true);
-    let requests = tokio::time::timeout(MAX_DEADLINE + MARGIN, entry.callers.wait());
+    let requests = tokio::time::timeout(
+        MAX_DEADLINE + RESPONSE_MARGIN,
+        entry.caller_connections.wait(),
+    );
     if requests.await.is_err() {
-        log::error!("event=requests_cut connections={}", entry.callers.count());
+        log::error!(
+            "event=requests_cut connections={}",
+            entry.caller_connections.count()
+        );
     }
-    // Loans that are not returned are lost to the team until they lapse.
-    let returning = entry.admission.give_back_all();
-    let _ = tokio::time::timeout(RETURN_TIME, returning).await;
-    if tokio::time::timeout(UNITS_TIME, units_moved(entry))
+    // A loan that is not returned stays unusable for its team until its lease
+    // expires.
+    let loan_returns = entry.admission.return_all_loans();
+    let _ = tokio::time::timeout(LOAN_RETURN_TIMEOUT, loan_returns).await;
+    if tokio::time::timeout(UNIT_TRANSFER_TIMEOUT, wait_for_unit_transfer(entry))
         .await
         .is_err()
     {
         log::warn!("event=units_not_moved vm={}", entry.settings.vm);
     }
-    let background = tokio::time::timeout(BACKGROUND_TIME, entry.background.wait());
+    let background = tokio::time::timeout(BACKGROUND_TIMEOUT, entry.background.wait());
     if background.await.is_err() {
         log::warn!("event=background_cut tasks={}", entry.background.count());
     }
     log::info!("event=stopped vm={}", entry.settings.vm);
 }
 
-/// Waits until the share table no longer names a VM that leaves the fleet.
+/// Waits until the share table no longer contains a VM that is leaving the
+/// fleet.
 ///
-/// A process that ended acknowledges nothing, so its units would be unused
-/// until the hold-off of 10 s after its VM left the list has passed. A VM that
-/// is to come back is listed as live and keeps its units.
-async fn units_moved(entry: &Entry) {
+/// A process that has ended does not acknowledge share tables, so its units
+/// would stay unused until the hold-off of 10 s after its VM left the list is
+/// over. A VM that is expected to return is still listed as live and keeps its
+/// units.
+async fn wait_for_unit_transfer(entry: &Entry) {
     let vm = &entry.settings.vm;
     loop {
         let view = entry.view();
-        let leaves = view.vms.get(vm).is_none_or(|record| !record.is_live());
-        if !leaves || !view.shares.units().contains_key(vm) {
+        let is_leaving = view.vms.get(vm).is_none_or(|record| !record.is_live());
+        if !is_leaving || !view.shares.units().contains_key(vm) {
             return;
         }
-        tokio::time::sleep(UNITS_POLL).await;
+        tokio::time::sleep(UNIT_POLL_INTERVAL).await;
     }
 }
--- a/crates/filbertgrade/src/process/entry/slots/fallback.rs
+++ b/crates/filbertgrade/src/process/entry/slots/fallback.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint by the own view alone.
+//! Local fallback: chooses an endpoint using only what this VM knows.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,14 +7,15 @@
 use crate::sync::lock;
 use rand::seq::IndexedRandom;
 
-/// Requests that this VM runs on each endpoint.
+/// Number of requests that this VM is running on each endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Fallback {
     running: Mutex<HashMap<SocketAddr, u32>>,
 }
 
 impl Fallback {
-    /// The less loaded of two random endpoints; each comes with its slots.
+    /// Returns the less loaded of two randomly chosen endpoints. `usable` lists
+    /// endpoints with their number of slots.
     pub(super) fn choose(&self, usable: &[(SocketAddr, u32)]) -> Option<SocketAddr> {
         let running = lock(&self.running);
         usable
@@ -24,13 +25,13 @@
     }
 
     /// Counts a request that starts on `endpoint`.
-    pub(super) fn start(&self, endpoint: SocketAddr) {
+    pub(super) fn record_start(&self, endpoint: SocketAddr) {
         let mut running = lock(&self.running);
         *running.entry(endpoint).or_default() += 1;
     }
 
-    /// Counts a request that ended on `endpoint`.
-    pub(super) fn end(&self, endpoint: SocketAddr) {
+    /// Removes a request that ended on `endpoint` from its count.
+    pub(super) fn record_end(&self, endpoint: SocketAddr) {
         let mut running = lock(&self.running);
         if let Some(count) = running.get_mut(&endpoint) {
             *count -= 1;
@@ -41,7 +42,7 @@
     }
 }
 
-/// Fraction of an endpoint's slots that this VM uses.
+/// Returns the fraction of an endpoint's slots that this VM uses.
 fn load(running: &HashMap<SocketAddr, u32>, (address, slots): &(SocketAddr, u32)) -> f64 {
     let running = running.get(address).copied().unwrap_or(0);
     f64::from(running) / f64::from((*slots).max(1))
--- a/crates/filbertgrade/src/process/entry/slots/grant.rs
+++ b/crates/filbertgrade/src/process/entry/slots/grant.rs
@@ -8,18 +8,18 @@
 use filbertgrade_coord::slots::PermitId;
 use tokio::task::JoinHandle;
 
-use super::{BookId, Slots};
+use super::{PoolId, Slots};
 use crate::sync::lock;
 use crate::wire::{self, Body};
 
-/// When a permit is extended for the first time. Its first lease of 500 ms
-/// leaves 300 ms for the way to another region and back.
-const FIRST_RENEWAL: Duration = Duration::from_millis(200);
+/// Delay before a permit is renewed for the first time. Its first lease of 500
+/// ms leaves 300 ms for a round trip to another region.
+const FIRST_RENEWAL_DELAY: Duration = Duration::from_millis(200);
 
-/// How often a permit is extended; half of its lease of 2 s.
-const RENEWAL_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between renewals of a permit: half of its lease of 2 s.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for the answer of the slot book's owner.
+/// Timeout for the reply of the VM that owns the slot pool.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The right to run one request on an endpoint. Dropping it frees the slot.
@@ -27,30 +27,31 @@
 pub(crate) struct SlotGrant {
     slots: Slots,
     endpoint: SocketAddr,
-    counted: Option<Counted>,
+    pooled: Option<PooledSlot>,
     fault: Option<EndpointFault>,
 }
 
-/// Why an endpoint did not run a request that it had a slot for.
+/// Why an endpoint did not run a request that had been assigned one of its
+/// slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointFault {
-    /// It refused because all of its slots were busy.
+    /// The endpoint refused the request because all of its slots were busy.
     Shed,
-    /// It refused because it is draining.
+    /// The endpoint refused the request because it is draining.
     Draining,
-    /// No connection could be made.
+    /// No connection to the endpoint could be opened.
     Unreachable,
 }
 
-/// A slot that a slot book counts.
+/// A slot that is counted in a slot pool.
 #[derive(Debug)]
-struct Counted {
-    id: BookId,
+struct PooledSlot {
+    id: PoolId,
     permit: Arc<Mutex<HeldPermit>>,
     renewal: JoinHandle<()>,
 }
 
-/// The newest permit of a request and the VM whose slot book gave it.
+/// The current permit of a request and the VM whose slot pool issued it.
 #[derive(Clone, Debug)]
 pub(super) struct HeldPermit {
     pub(super) owner: VmName,
@@ -58,13 +59,9 @@
 }
 
 impl SlotGrant {
-    /// A slot that the book `id` counts.
-    pub(super) fn counted(
-        slots: Slots,
-        endpoint: SocketAddr,
-        id: BookId,
-        held: HeldPermit,
-    ) -> Self {
+    /// Creates a grant for a slot that is counted in the pool `id`, and renews
+    /// its permit in the background.
+    pub(super) fn pooled(slots: Slots, endpoint: SocketAddr, id: PoolId, held: HeldPermit) -> Self {
         let permit = Arc::new(Mutex::new(held));
         let renewal = tokio::spawn(renew_periodically(
             slots.clone(),
@@ -72,62 +69,63 @@
             id.clone(),
             Arc::clone(&permit),
         ));
-        let counted = Counted {
+        let pooled = PooledSlot {
             id,
             permit,
             renewal,
         };
-        Self::new(slots, endpoint, Some(counted))
+        Self::new(slots, endpoint, Some(pooled))
     }
 
-    /// A slot that nobody counts: the endpoint was chosen by the own view.
-    pub(super) fn guessed(slots: Slots, endpoint: SocketAddr) -> Self {
+    /// Creates a grant for an endpoint that was chosen by local fallback,
+    /// without a permit.
+    pub(super) fn without_permit(slots: Slots, endpoint: SocketAddr) -> Self {
         Self::new(slots, endpoint, None)
     }
 
-    fn new(slots: Slots, endpoint: SocketAddr, counted: Option<Counted>) -> Self {
-        slots.shared.fallback.start(endpoint);
+    fn new(slots: Slots, endpoint: SocketAddr, pooled: Option<PooledSlot>) -> Self {
+        slots.shared.fallback.record_start(endpoint);
         Self {
             slots,
             endpoint,
-            counted,
+            pooled,
             fault: None,
         }
     }
 
-    /// The endpoint.
+    /// Returns the endpoint that the request may run on.
     pub(crate) fn endpoint(&self) -> SocketAddr {
         self.endpoint
     }
 
-    /// Frees the slot, and tells the slot book what is wrong with the endpoint.
-    pub(crate) fn faulted(mut self, fault: EndpointFault) {
+    /// Frees the slot and reports the fault of the endpoint to the slot pool.
+    pub(crate) fn release_with_fault(mut self, fault: EndpointFault) {
         self.fault = Some(fault);
     }
 }
 
 impl Drop for SlotGrant {
     fn drop(&mut self) {
-        self.slots.shared.fallback.end(self.endpoint);
-        if let Some(counted) = self.counted.take() {
-            counted.renewal.abort();
-            let held = lock(&counted.permit).clone();
-            release(&self.slots, &counted.id, &held, self.fault);
+        self.slots.shared.fallback.record_end(self.endpoint);
+        if let Some(pooled) = self.pooled.take() {
+            pooled.renewal.abort();
+            let held = lock(&pooled.permit).clone();
+            release(&self.slots, &pooled.id, &held, self.fault);
         }
     }
 }
 
-/// Frees a slot at its book. A release that is lost costs the slot until the
-/// permit's lease ends.
-pub(super) fn release(slots: &Slots, id: &BookId, held: &HeldPermit, fault: Option<EndpointFault>) {
+/// Frees a slot in its pool. If the release message is lost, the slot stays
+/// occupied until the permit's lease expires.
+pub(super) fn release(slots: &Slots, id: &PoolId, held: &HeldPermit, fault: Option<EndpointFault>) {
     let shared = &slots.shared;
     if held.owner == shared.settings.vm {
-        if let Some(book) = shared.books().get_mut(id) {
-            book.release(Instant::now(), held.permit, fault);
+        if let Some(pool) = shared.pools().get_mut(id) {
+            pool.release(Instant::now(), held.permit, fault);
         }
         return;
     }
-    let Some(link) = shared.links.to(&held.owner) else {
+    let Some(link) = shared.links.link_to(&held.owner) else {
         return;
     };
     let release = wire::Release {
@@ -141,18 +139,18 @@
     });
 }
 
-/// Extends a permit for as long as its request runs. A book that moved to
-/// another VM learns of the request this way.
+/// Renews a permit for as long as its request runs. After a pool has moved to
+/// another VM, the renewals also inform the new owner of the request.
 async fn renew_periodically(
     slots: Slots,
     endpoint: SocketAddr,
-    id: BookId,
+    id: PoolId,
     permit: Arc<Mutex<HeldPermit>>,
 ) {
-    let mut pause = FIRST_RENEWAL;
+    let mut delay = FIRST_RENEWAL_DELAY;
     loop {
-        tokio::time::sleep(pause).await;
-        pause = RENEWAL_PERIOD;
+        tokio::time::sleep(delay).await;
+        delay = RENEWAL_INTERVAL;
         let held = lock(&permit).clone();
         if let Some(renewed) = renew(&slots, endpoint, &id, held.permit).await {
             *lock(&permit) = renewed;
@@ -163,7 +161,7 @@
 async fn renew(
     slots: &Slots,
     endpoint: SocketAddr,
-    id: &BookId,
+    id: &PoolId,
     permit: PermitId,
 ) -> Option<HeldPermit> {
     let view = slots.shared.view.load_full();
@@ -172,7 +170,7 @@
         let permit = slots.renew_or_adopt(&view, id, permit, endpoint)?;
         return Some(HeldPermit { owner, permit });
     }
-    let link = slots.shared.links.to(&owner)?;
+    let link = slots.shared.links.link_to(&owner)?;
     let body = Body::RenewPermit(wire::RenewPermit {
         service: id.service.to_string(),
         region: id.region.to_string(),
@@ -180,9 +178,9 @@
         endpoint: endpoint.to_string(),
     });
     match link.call(body, RENEWAL_TIMEOUT).await {
-        Ok(Body::Permit(answer)) => Some(HeldPermit {
+        Ok(Body::Permit(reply)) => Some(HeldPermit {
             owner,
-            permit: answer.permit?.into(),
+            permit: reply.permit?.into(),
         }),
         _ => None,
     }
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -1,13 +1,13 @@
-//! Slots of endpoints: where a request may run.
+//! Assignment of requests to slots of endpoints.
 //!
-//! The slots of one service in one region are in a slot book at one VM. An
-//! entry asks that VM for a permit; when the VM is silent, it chooses an
-//! endpoint by its own view, and relies on backend servers to refuse what is
-//! over their slots.
+//! The slots of one service in one region form a slot pool, which one VM owns.
+//! An entry requests a permit from the owner. When the owner does not reply,
+//! the entry falls back to choosing an endpoint locally, and relies on backend
+//! servers to refuse requests beyond their slots.
 
-mod book;
 mod fallback;
 mod grant;
+mod pool;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 use filbertgrade_coord::slots::{Origin, PermitId, SlotRefusal, SlotRequest, SlotSnapshot, Ticket};
 use tokio::sync::oneshot;
 
-use self::book::{Book, BookAnswer};
 use self::fallback::Fallback;
 use self::grant::HeldPermit;
 pub(crate) use self::grant::{EndpointFault, SlotGrant};
+use self::pool::{OwnedPool, PoolReply};
 use super::links::PeerLinks;
-use super::spill::Spills;
+use super::spill::SpillLimits;
 use crate::logfmt;
 use crate::process::settings::NodeSettings;
 use crate::request::{Cause, Refusal};
@@ -33,17 +33,18 @@
 use crate::version::{InForce, ServiceName};
 use crate::wire::{self, Body, DeniedCause};
 
-/// Longest wait in a slot book. A longer queue only makes every request late.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Longest time a request waits in a slot pool. A longer queue would only make
+/// every request late.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
 
-/// How much longer than the wait asked for an owner may take to answer. A
-/// longer silence means that it is gone.
+/// How much longer than the requested wait and the round trip an owner may take
+/// to reply. After that it is considered unreachable.
 const OWNER_GRACE: Duration = Duration::from_millis(100);
 
-/// How often slot books look for expired permits and passed deadlines.
-const EXPIRY_PERIOD: Duration = Duration::from_millis(50);
+/// Interval at which slot pools check for expired permits and passed deadlines.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Team of requests on open routes, for fair queueing.
+/// Team name used for requests on open routes in fair queueing.
 const OPEN_TEAM: &str = "open";
 
 /// Finds slots for requests.
@@ -57,68 +58,69 @@
     settings: NodeSettings,
     view: Arc<ArcSwap<InForce>>,
     links: Arc<PeerLinks>,
-    books: Mutex<HashMap<BookId, Book>>,
+    pools: Mutex<HashMap<PoolId, OwnedPool>>,
     fallback: Fallback,
-    spills: Spills,
+    spills: SpillLimits,
 }
 
-/// Names a slot book.
+/// Identifies a slot pool.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct BookId {
+struct PoolId {
     service: ServiceName,
     region: RegionName,
 }
 
-/// What a request needs of a slot.
+/// Requirements of a request for a slot.
 #[derive(Clone, Debug)]
-pub(crate) struct SlotAsk {
+pub(crate) struct SlotCriteria {
     /// Service of the request.
     pub(crate) service: ServiceName,
     /// Team of the request; `None` on an open route.
     pub(crate) team: Option<TeamName>,
-    /// Until when the request must have been sent.
+    /// Time by which the request must have been sent.
     pub(crate) deadline: Instant,
     /// Endpoints that already refused this request.
     pub(crate) avoid: Vec<SocketAddr>,
 }
 
-/// Whether endpoints that rest after a fault may be used.
+/// Whether endpoints that were ejected after a fault may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Resting {
-    /// They are left alone.
-    Left,
-    /// There is nothing else, so their rest ends.
-    Used,
+enum EjectedEndpoints {
+    /// Ejected endpoints are not used.
+    Exclude,
+    /// No other endpoint is available, so their ejection ends.
+    Include,
 }
 
-/// How one region is tried.
+/// One attempt to get a slot in a region.
 #[derive(Debug)]
-struct Tried<'a> {
+struct RegionAttempt<'a> {
     region: &'a RegionName,
-    /// Longest wait in its queue.
+    /// Longest time to wait in the region's queue.
     wait: Duration,
-    resting: Resting,
+    ejected: EjectedEndpoints,
 }
 
-/// What a slot book is asked.
+/// A request for a slot from one pool.
 #[derive(Clone, Copy, Debug)]
-struct Asked<'a> {
-    ask: &'a SlotAsk,
-    id: &'a BookId,
-    /// Until when the request may wait in the book's queue.
+struct PoolRequest<'a> {
+    criteria: &'a SlotCriteria,
+    id: &'a PoolId,
+    /// Time until which the request may wait in the pool's queue.
     deadline: Instant,
-    resting: Resting,
+    ejected: EjectedEndpoints,
 }
 
-/// What one region answered.
-enum RegionAnswer {
+/// Result of an attempt to get a slot in a region.
+enum RegionReply {
     Granted(SlotGrant),
-    /// No slot within the wait.
+    /// No slot became free within the wait.
     Busy,
-    /// The region has no endpoint that takes work.
-    None,
-    /// The owner of the slot book did not answer.
-    Silent,
+    /// The region has no endpoint that accepts requests.
+    NoEndpoint,
+    /// The owner of the slot pool is unknown, did not reply, or sent an
+    /// unusable reply.
+    OwnerUnavailable,
 }
 
 impl Slots {
@@ -131,56 +133,58 @@
             settings,
             view,
             links,
-            books: Mutex::default(),
+            pools: Mutex::default(),
             fallback: Fallback::default(),
-            spills: Spills::default(),
+            spills: SpillLimits::default(),
         });
         tokio::spawn(expire_periodically(Arc::downgrade(&shared)));
         Self { shared }
     }
 
-    /// Gets a slot, and waits for it if it must, at most until the deadline.
+    /// Acquires a slot, waiting until the deadline at most.
     ///
-    /// The region that the weights choose comes first, then the others without
-    /// waiting there, as far as the limit on such requests allows, and last the
-    /// queue of the first. Endpoints that rest after a fault are used only when
-    /// no region has another one.
+    /// The region that the steering weights choose is tried first. The other
+    /// regions follow without waiting in their queues, as far as the spill
+    /// limit permits. Last, the request waits in the queue of the first region.
+    /// Endpoints that were ejected after a fault are used only when no region
+    /// has another one.
     ///
     /// # Errors
     ///
-    /// A refusal as not run when there is no endpoint, or no slot in time.
+    /// Returns a "not run" refusal when there is no usable endpoint, or no slot
+    /// became free in time.
     pub(crate) async fn acquire(
         &self,
         view: &InForce,
-        ask: &SlotAsk,
+        criteria: &SlotCriteria,
     ) -> Result<SlotGrant, Refusal> {
-        let (chosen, regions) = self.regions(view, ask);
-        let Some(home) = regions.first() else {
+        let (chosen, candidate_regions) = self.candidate_regions(view, criteria);
+        let Some(first_region) = candidate_regions.first() else {
             return Err(Refusal::not_run(Cause::NoEndpoint));
         };
-        let mut spill = self.shared.spills.start(view, ask);
+        let mut spill = self.shared.spills.start(view, criteria);
         let mut busy = false;
-        for resting in [Resting::Left, Resting::Used] {
-            for (region, wait) in regions.iter().zip(self.first_waits(view)) {
-                if *region != chosen && !spill.may_leave() {
+        for ejected in [EjectedEndpoints::Exclude, EjectedEndpoints::Include] {
+            for (region, wait) in candidate_regions.iter().zip(self.queue_waits(view)) {
+                if *region != chosen && !spill.may_spill() {
                     busy = true;
                     break;
                 }
-                let region = Tried {
+                let region = RegionAttempt {
                     region,
                     wait,
-                    resting,
+                    ejected,
                 };
-                match self.try_region(view, ask, &region).await {
-                    RegionAnswer::Granted(grant) => {
-                        spill.runs_in(region.region == &chosen);
+                match self.try_region(view, criteria, &region).await {
+                    RegionReply::Granted(grant) => {
+                        spill.record_placement(region.region == &chosen);
                         return Ok(grant);
                     }
-                    RegionAnswer::Busy => busy = true,
-                    RegionAnswer::None => {}
-                    RegionAnswer::Silent => {
-                        if let Some(grant) = self.guess(view, ask, region.region) {
-                            spill.runs_in(region.region == &chosen);
+                    RegionReply::Busy => busy = true,
+                    RegionReply::NoEndpoint => {}
+                    RegionReply::OwnerUnavailable => {
+                        if let Some(grant) = self.choose_locally(view, criteria, region.region) {
+                            spill.record_placement(region.region == &chosen);
                             return Ok(grant);
                         }
                     }
@@ -193,24 +197,24 @@
         if !busy {
             return Err(Refusal::not_run(Cause::NoEndpoint));
         }
-        if *home != chosen && !spill.may_leave() {
+        if *first_region != chosen && !spill.may_spill() {
             return Err(Refusal::not_run(Cause::Busy));
         }
-        let queue = Tried {
-            region: home,
-            wait: LONGEST_WAIT,
-            resting: Resting::Left,
+        let queue = RegionAttempt {
+            region: first_region,
+            wait: MAX_QUEUE_WAIT,
+            ejected: EjectedEndpoints::Exclude,
         };
-        match self.try_region(view, ask, &queue).await {
-            RegionAnswer::Granted(grant) => {
-                spill.runs_in(*home == chosen);
+        match self.try_region(view, criteria, &queue).await {
+            RegionReply::Granted(grant) => {
+                spill.record_placement(*first_region == chosen);
                 Ok(grant)
             }
             _ => Err(Refusal::not_run(Cause::Busy)),
         }
     }
 
-    /// Answers another entry that asks for a slot.
+    /// Handles another entry's request for a slot.
     pub(crate) async fn serve_acquire(&self, view: &InForce, message: wire::Acquire) -> Body {
         match self.acquire_for_peer(view, &message).await {
             Ok((permit, endpoint)) => Body::Permit(wire::Permit {
@@ -221,13 +225,13 @@
         }
     }
 
-    /// Answers another entry that extends a permit.
+    /// Handles another entry's renewal of a permit.
     pub(crate) fn serve_renewal(&self, view: &InForce, message: wire::RenewPermit) -> Body {
         let service = message.service.as_str().try_into();
         let (Ok(service), Ok(region)) = (service, message.region.as_str().try_into()) else {
             return denied(DeniedCause::Unknown);
         };
-        let id = BookId { service, region };
+        let id = PoolId { service, region };
         if !self.owns(view, &id) {
             return denied(DeniedCause::NotOwner);
         }
@@ -244,183 +248,209 @@
         }
     }
 
-    /// Takes back a slot that another entry used.
+    /// Frees a slot that another entry has used.
     pub(crate) fn serve_release(&self, message: &wire::Release) {
         let service = message.service.as_str().try_into();
         let (Ok(service), Ok(region)) = (service, message.region.as_str().try_into()) else {
             return;
         };
-        let id = BookId { service, region };
-        if let (Some(book), Some(permit)) = (self.shared.books().get_mut(&id), message.permit) {
-            book.release(Instant::now(), permit.into(), message.fault().into());
+        let id = PoolId { service, region };
+        if let (Some(pool), Some(permit)) = (self.shared.pools().get_mut(&id), message.permit) {
+            pool.release(Instant::now(), permit.into(), message.fault().into());
         }
     }
 
-    /// Plain copies of the slot books at this VM.
+    /// Returns copies of the state of all slot pools at this VM, for the
+    /// operator port.
     pub(crate) fn snapshots(&self) -> Vec<(ServiceName, RegionName, SlotSnapshot)> {
         let now = Instant::now();
-        let books = self.shared.books();
-        books
+        let pools = self.shared.pools();
+        pools
             .iter()
-            .map(|(id, book)| (id.service.clone(), id.region.clone(), book.snapshot(now)))
+            .map(|(id, pool)| (id.service.clone(), id.region.clone(), pool.snapshot(now)))
             .collect()
     }
 
-    /// The region that the weights choose, and the regions with usable
-    /// endpoints of the service: the chosen one first, then the others that
-    /// have a part of the traffic. Regions without a part are used only when
-    /// there is no other.
-    fn regions(&self, view: &InForce, ask: &SlotAsk) -> (RegionName, Vec<RegionName>) {
+    /// Returns the region that the steering weights choose, and the regions
+    /// with usable endpoints of the service: the chosen region first, then the
+    /// others that receive a share of the traffic. Regions without a share are
+    /// included only when no other region is usable.
+    fn candidate_regions(
+        &self,
+        view: &InForce,
+        criteria: &SlotCriteria,
+    ) -> (RegionName, Vec<RegionName>) {
         let own = &self.shared.settings.region;
         let first = view
             .routes
-            .region_for(&ask.service, own, rand::random::<f64>());
-        let mut regions = view.region_order(Some(first.unwrap_or(own)));
-        regions.retain(|region| {
-            view.usable_endpoints(&ask.service, region)
-                .any(|(endpoint, _)| !ask.avoid.contains(&endpoint))
+            .region_for(&criteria.service, own, rand::random::<f64>());
+        let mut candidate_regions = view.region_order(Some(first.unwrap_or(own)));
+        candidate_regions.retain(|region| {
+            view.usable_endpoints(&criteria.service, region)
+                .any(|(endpoint, _)| !criteria.avoid.contains(&endpoint))
         });
-        let has_part = |region: &RegionName| {
-            Some(region) == first || view.routes.is_other_choice(&ask.service, region)
+        let has_share = |region: &RegionName| {
+            Some(region) == first || view.routes.is_other_choice(&criteria.service, region)
         };
-        if regions.iter().any(has_part) {
-            regions.retain(has_part);
+        if candidate_regions.iter().any(has_share) {
+            candidate_regions.retain(has_share);
         }
-        (first.unwrap_or(own).clone(), regions)
+        (first.unwrap_or(own).clone(), candidate_regions)
     }
 
-    /// Wait in the queue of each region in turn: as long as sending the
-    /// request to another region and back would take, then none.
-    fn first_waits(&self, view: &InForce) -> impl Iterator<Item = Duration> + use<> {
-        let detour = view
+    /// Returns how long to wait in the queue of each region in turn: in the
+    /// first one as long as a round trip to another region takes, in the others
+    /// not at all.
+    fn queue_waits(&self, view: &InForce) -> impl Iterator<Item = Duration> + use<> {
+        let round_trip = view
             .config
             .as_ref()
             .map_or(Duration::ZERO, |cfg| cfg.network.region_latency * 2);
-        std::iter::once(detour).chain(std::iter::repeat(Duration::ZERO))
+        std::iter::once(round_trip).chain(std::iter::repeat(Duration::ZERO))
     }
 
-    async fn try_region(&self, view: &InForce, ask: &SlotAsk, tried: &Tried<'_>) -> RegionAnswer {
-        let id = BookId {
-            service: ask.service.clone(),
-            region: tried.region.clone(),
+    async fn try_region(
+        &self,
+        view: &InForce,
+        criteria: &SlotCriteria,
+        attempt: &RegionAttempt<'_>,
+    ) -> RegionReply {
+        let id = PoolId {
+            service: criteria.service.clone(),
+            region: attempt.region.clone(),
         };
         let now = Instant::now();
-        let deadline = ask.deadline.min(now + tried.wait.min(LONGEST_WAIT));
+        let deadline = criteria
+            .deadline
+            .min(now + attempt.wait.min(MAX_QUEUE_WAIT));
         let owner = self.owner(view, &id);
-        let asked = Asked {
-            ask,
+        let request = PoolRequest {
+            criteria,
             id: &id,
             deadline,
-            resting: tried.resting,
+            ejected: attempt.ejected,
         };
         match owner {
-            Some(owner) if owner == self.shared.settings.vm => self.try_own_book(view, asked).await,
-            Some(owner) => self.ask_owner(view, asked, &owner).await,
-            None => RegionAnswer::Silent,
+            Some(owner) if owner == self.shared.settings.vm => {
+                self.try_own_pool(view, request).await
+            }
+            Some(owner) => self.request_from_owner(view, request, &owner).await,
+            None => RegionReply::OwnerUnavailable,
         }
     }
 
-    async fn try_own_book(&self, view: &InForce, asked: Asked<'_>) -> RegionAnswer {
-        let Asked {
-            ask,
+    async fn try_own_pool(&self, view: &InForce, request: PoolRequest<'_>) -> RegionReply {
+        let PoolRequest {
+            criteria,
             id,
             deadline,
-            resting,
-        } = asked;
+            ejected,
+        } = request;
         let request = SlotRequest {
-            team: team_of(ask),
+            team: team_of(criteria),
             holder: self.shared.settings.vm.clone(),
             origin: self.origin(id),
             deadline,
-            avoid: book::endpoint_names(&ask.avoid),
+            avoid: pool::endpoint_names(&criteria.avoid),
         };
-        match self.run_book(view, id, request, resting).await {
+        match self.acquire_from_pool(view, id, request, ejected).await {
             Ok((permit, endpoint)) => {
                 let owner = self.shared.settings.vm.clone();
                 let held = HeldPermit { owner, permit };
-                let grant = SlotGrant::counted(self.clone(), endpoint, id.clone(), held);
-                RegionAnswer::Granted(grant)
+                let grant = SlotGrant::pooled(self.clone(), endpoint, id.clone(), held);
+                RegionReply::Granted(grant)
             }
-            Err(SlotRefusal::NoEndpoint) => RegionAnswer::None,
-            Err(SlotRefusal::Deadline | SlotRefusal::QueueFull) => RegionAnswer::Busy,
+            Err(SlotRefusal::NoEndpoint) => RegionReply::NoEndpoint,
+            Err(SlotRefusal::Deadline | SlotRefusal::QueueFull) => RegionReply::Busy,
         }
     }
 
-    /// Asks the owner in a task of its own, so that a permit that arrives
-    /// after the caller has gone is given back at once.
-    async fn ask_owner(&self, view: &InForce, asked: Asked<'_>, owner: &VmName) -> RegionAnswer {
-        let Asked {
-            ask,
+    /// Requests a slot from the owner. The call runs in a separate task, so
+    /// that a permit that arrives after the caller has disconnected is released
+    /// at once.
+    async fn request_from_owner(
+        &self,
+        view: &InForce,
+        request: PoolRequest<'_>,
+        owner: &VmName,
+    ) -> RegionReply {
+        let PoolRequest {
+            criteria,
             id,
             deadline,
-            resting,
-        } = asked;
-        let Some(link) = self.shared.links.to(owner) else {
-            return RegionAnswer::Silent;
+            ejected,
+        } = request;
+        let Some(link) = self.shared.links.link_to(owner) else {
+            return RegionReply::OwnerUnavailable;
         };
         let wait = deadline.saturating_duration_since(Instant::now());
         let round_trip = view.round_trip(&self.shared.settings.region, &id.region);
         let body = Body::Acquire(wire::Acquire {
             service: id.service.to_string(),
             region: id.region.to_string(),
-            team: team_of(ask).to_string(),
+            team: team_of(criteria).to_string(),
             vm: self.shared.settings.vm.to_string(),
             deadline_ms: wait.as_millis().try_into().unwrap_or(u32::MAX),
             remote: self.origin(id) == Origin::Remote,
-            avoid: ask.avoid.iter().map(ToString::to_string).collect(),
-            resting: resting == Resting::Used,
+            avoid: criteria.avoid.iter().map(ToString::to_string).collect(),
+            resting: ejected == EjectedEndpoints::Include,
         });
         let (tx, rx) = oneshot::channel();
         let slots = self.clone();
         let id = id.clone();
         let owner = owner.clone();
         tokio::spawn(async move {
-            let answer = link.call(body, wait + round_trip + OWNER_GRACE).await;
-            let answer = match answer {
-                Ok(body) => slots.remote_answer(body, id, owner),
+            let reply = link.call(body, wait + round_trip + OWNER_GRACE).await;
+            let reply = match reply {
+                Ok(body) => slots.handle_owner_reply(body, id, owner),
                 Err(error) => {
                     log::debug!(
                         "event=slot_owner_silent owner={owner} error={}",
                         logfmt::value(&error)
                     );
-                    RegionAnswer::Silent
+                    RegionReply::OwnerUnavailable
                 }
             };
-            let _ = tx.send(answer);
+            let _ = tx.send(reply);
         });
-        rx.await.unwrap_or(RegionAnswer::Silent)
+        rx.await.unwrap_or(RegionReply::OwnerUnavailable)
     }
 
-    fn remote_answer(&self, body: Body, id: BookId, owner: VmName) -> RegionAnswer {
+    fn handle_owner_reply(&self, body: Body, id: PoolId, owner: VmName) -> RegionReply {
         match body {
             Body::Permit(permit) => match (permit.permit, permit.endpoint.parse()) {
                 (Some(permit), Ok(endpoint)) => {
                     let permit = permit.into();
                     let held = HeldPermit { owner, permit };
-                    RegionAnswer::Granted(SlotGrant::counted(self.clone(), endpoint, id, held))
+                    RegionReply::Granted(SlotGrant::pooled(self.clone(), endpoint, id, held))
                 }
-                _ => RegionAnswer::Silent,
+                _ => RegionReply::OwnerUnavailable,
             },
             Body::Denied(denied) => match denied.cause() {
-                DeniedCause::Busy => RegionAnswer::Busy,
-                DeniedCause::NoEndpoint => RegionAnswer::None,
+                DeniedCause::Busy => RegionReply::Busy,
+                DeniedCause::NoEndpoint => RegionReply::NoEndpoint,
                 DeniedCause::NotOwner | DeniedCause::Unknown | DeniedCause::Unspecified => {
-                    RegionAnswer::Silent
+                    RegionReply::OwnerUnavailable
                 }
             },
-            _ => RegionAnswer::Silent,
+            _ => RegionReply::OwnerUnavailable,
         }
     }
 
-    /// Chooses an endpoint without a permit.
-    fn guess(&self, view: &InForce, ask: &SlotAsk, region: &RegionName) -> Option<SlotGrant> {
+    /// Chooses an endpoint by local fallback, without a permit.
+    fn choose_locally(
+        &self,
+        view: &InForce,
+        criteria: &SlotCriteria,
+        region: &RegionName,
+    ) -> Option<SlotGrant> {
         metrics::counter!("slot_guesses_total").increment(1);
         let usable: Vec<_> = view
-            .usable_endpoints(&ask.service, region)
-            .filter(|(endpoint, _)| !ask.avoid.contains(endpoint))
+            .usable_endpoints(&criteria.service, region)
+            .filter(|(endpoint, _)| !criteria.avoid.contains(endpoint))
             .collect();
         let endpoint = self.shared.fallback.choose(&usable)?;
-        Some(SlotGrant::guessed(self.clone(), endpoint))
+        Some(SlotGrant::without_permit(self.clone(), endpoint))
     }
 
     async fn acquire_for_peer(
@@ -429,14 +459,14 @@
         message: &wire::Acquire,
     ) -> Result<(wire::PermitId, SocketAddr), DeniedCause> {
         let unknown = |_| DeniedCause::Unknown;
-        let id = BookId {
+        let id = PoolId {
             service: message.service.as_str().try_into().map_err(unknown)?,
             region: message.region.as_str().try_into().map_err(unknown)?,
         };
         if !self.owns(view, &id) {
             return Err(DeniedCause::NotOwner);
         }
-        let wait = Duration::from_millis(message.deadline_ms.into()).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(message.deadline_ms.into()).min(MAX_QUEUE_WAIT);
         let avoid: Vec<SocketAddr> = message
             .avoid
             .iter()
@@ -450,71 +480,73 @@
             } else {
                 Origin::Local
             },
-            // A request that must not wait still needs a moment to be served.
+            // Even a request that must not wait in the queue needs a moment to
+            // be processed.
             deadline: Instant::now() + wait.max(Duration::from_millis(1)),
-            avoid: book::endpoint_names(&avoid),
+            avoid: pool::endpoint_names(&avoid),
         };
-        let resting = if message.resting {
-            Resting::Used
+        let ejected = if message.resting {
+            EjectedEndpoints::Include
         } else {
-            Resting::Left
+            EjectedEndpoints::Exclude
         };
-        match self.run_book(view, &id, request, resting).await {
+        match self.acquire_from_pool(view, &id, request, ejected).await {
             Ok((permit, endpoint)) => Ok((permit.into(), endpoint)),
             Err(SlotRefusal::NoEndpoint) => Err(DeniedCause::NoEndpoint),
             Err(SlotRefusal::Deadline | SlotRefusal::QueueFull) => Err(DeniedCause::Busy),
         }
     }
 
-    async fn run_book(
+    async fn acquire_from_pool(
         &self,
         view: &InForce,
-        id: &BookId,
+        id: &PoolId,
         request: SlotRequest,
-        resting: Resting,
-    ) -> BookAnswer {
+        ejected: EjectedEndpoints,
+    ) -> PoolReply {
         let (ticket, rx) = {
-            let mut books = self.shared.books();
-            let book = books.entry(id.clone()).or_insert_with(Book::new);
-            book.follow(view, id, Instant::now());
-            if resting == Resting::Used {
-                book.end_all_rests(Instant::now());
+            let mut pools = self.shared.pools();
+            let pool = pools.entry(id.clone()).or_insert_with(OwnedPool::new);
+            pool.update_endpoints(view, id, Instant::now());
+            if ejected == EjectedEndpoints::Include {
+                pool.end_all_ejections(Instant::now());
             }
-            match book.acquire(Instant::now(), request) {
-                book::Next::Answer(answer) => return answer,
-                book::Next::Wait(ticket, rx) => (ticket, rx),
+            match pool.acquire(Instant::now(), request) {
+                pool::AcquireStep::Done(reply) => return reply,
+                pool::AcquireStep::Wait(ticket, rx) => (ticket, rx),
             }
         };
-        let waiting = Waiting {
+        let cancel_on_drop = CancelOnDrop {
             shared: &self.shared,
             id,
             ticket,
         };
-        let answer = rx.await.unwrap_or(Err(SlotRefusal::Deadline));
-        std::mem::forget(waiting);
-        answer
+        let reply = rx.await.unwrap_or(Err(SlotRefusal::Deadline));
+        std::mem::forget(cancel_on_drop);
+        reply
     }
 
     fn renew_or_adopt(
         &self,
         view: &InForce,
-        id: &BookId,
+        id: &PoolId,
         permit: PermitId,
         endpoint: SocketAddr,
     ) -> Option<PermitId> {
         let now = Instant::now();
-        let mut books = self.shared.books();
-        let book = books.entry(id.clone()).or_insert_with(Book::new);
-        book.follow(view, id, now);
-        book.renew_or_adopt(now, permit, endpoint)
+        let mut pools = self.shared.pools();
+        let pool = pools.entry(id.clone()).or_insert_with(OwnedPool::new);
+        pool.update_endpoints(view, id, now);
+        pool.renew_or_adopt(now, permit, endpoint)
     }
 
-    fn owns(&self, view: &InForce, id: &BookId) -> bool {
+    fn owns(&self, view: &InForce, id: &PoolId) -> bool {
         self.owner(view, id).as_ref() == Some(&self.shared.settings.vm)
     }
 
-    /// The VM that holds a slot book: one of the region, if it has any.
-    fn owner(&self, view: &InForce, id: &BookId) -> Option<VmName> {
+    /// Returns the VM that owns a slot pool: a VM of the pool's region if there
+    /// is a live one, otherwise any live VM.
+    fn owner(&self, view: &InForce, id: &PoolId) -> Option<VmName> {
         let key = format!("{}/{}", id.service, id.region);
         let live = || view.vms.values().filter(|vm| view.takes_work(vm));
         let of_region = live()
@@ -525,7 +557,7 @@
             .cloned()
     }
 
-    fn origin(&self, id: &BookId) -> Origin {
+    fn origin(&self, id: &PoolId) -> Origin {
         if id.region == self.shared.settings.region {
             Origin::Local
         } else {
@@ -535,28 +567,28 @@
 }
 
 impl Shared {
-    fn books(&self) -> MutexGuard<'_, HashMap<BookId, Book>> {
-        lock(&self.books)
+    fn pools(&self) -> MutexGuard<'_, HashMap<PoolId, OwnedPool>> {
+        lock(&self.pools)
     }
 }
 
-/// Withdraws a request from the queue when its caller goes away.
-struct Waiting<'a> {
+/// Cancels a waiting request when its caller disconnects.
+struct CancelOnDrop<'a> {
     shared: &'a Shared,
-    id: &'a BookId,
+    id: &'a PoolId,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if let Some(book) = self.shared.books().get_mut(self.id) {
-            book.cancel(self.ticket);
+        if let Some(pool) = self.shared.pools().get_mut(self.id) {
+            pool.cancel(self.ticket);
         }
     }
 }
 
 async fn expire_periodically(shared: std::sync::Weak<Shared>) {
-    let mut ticks = tokio::time::interval(EXPIRY_PERIOD);
+    let mut ticks = tokio::time::interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -564,14 +596,14 @@
             return;
         };
         let now = Instant::now();
-        for book in shared.books().values_mut() {
-            book.expire(now);
+        for pool in shared.pools().values_mut() {
+            pool.expire(now);
         }
     }
 }
 
-fn team_of(ask: &SlotAsk) -> TeamName {
-    ask.team.clone().unwrap_or_else(|| {
+fn team_of(criteria: &SlotCriteria) -> TeamName {
+    criteria.team.clone().unwrap_or_else(|| {
         TeamName::try_from(OPEN_TEAM).expect("the constant is a well-formed name")
     })
 }
--- a/crates/filbertgrade/src/process/entry/spill.rs
+++ b/crates/filbertgrade/src/process/entry/spill.rs
@@ -1,4 +1,5 @@
-//! Requests that run in another region than the one that the weights chose.
+//! Limits the requests that run in another region than the one that the
+//! steering weights chose (spills).
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -6,41 +7,43 @@
 
 use filbertgrade_coord::spill::{SpillConfig, SpillLimit};
 
-use super::slots::SlotAsk;
+use super::slots::SlotCriteria;
 use crate::sync::lock;
 use crate::version::{InForce, ServiceName};
 
-/// The limits of all services at this entry.
+/// Spill limits of all services at this entry.
 #[derive(Debug, Default)]
-pub(super) struct Spills {
+pub(super) struct SpillLimits {
     limits: Mutex<HashMap<ServiceName, SpillLimit>>,
 }
 
-/// One request that looks for a slot.
+/// A request that is looking for a slot.
 ///
-/// Dropping it frees the place among those that left, unless it runs elsewhere.
+/// Dropping it undoes its count as a spill, unless it has run in another
+/// region.
 #[derive(Debug)]
-pub(super) struct Spill<'a> {
-    spills: &'a Spills,
+pub(super) struct SpillAttempt<'a> {
+    spills: &'a SpillLimits,
     service: ServiceName,
-    /// `None` before a configuration is in force.
+    /// `None` until a configuration is in force.
     cfg: Option<SpillConfig>,
-    left: bool,
+    spilled: bool,
 }
 
-impl Spills {
-    /// Counts a request. Another try of the same request is not counted again.
-    pub(super) fn start(&self, view: &InForce, ask: &SlotAsk) -> Spill<'_> {
+impl SpillLimits {
+    /// Counts a request and starts tracking it. A retry of the same request is
+    /// not counted again.
+    pub(super) fn start(&self, view: &InForce, criteria: &SlotCriteria) -> SpillAttempt<'_> {
         let cfg = view.config.as_ref().map(|config| {
             SpillConfig::new(config.shift_cap, config.lookup_ttl + config.shift_settle)
         });
-        let spill = Spill {
+        let spill = SpillAttempt {
             spills: self,
-            service: ask.service.clone(),
+            service: criteria.service.clone(),
             cfg,
-            left: false,
+            spilled: false,
         };
-        if ask.avoid.is_empty() {
+        if criteria.avoid.is_empty() {
             spill.with_limit(|limit, cfg| limit.record_request(cfg, Instant::now()));
         }
         spill
@@ -51,24 +54,26 @@
     }
 }
 
-impl Spill<'_> {
-    /// The request may go to another region than the chosen one.
-    pub(super) fn may_leave(&mut self) -> bool {
-        if !self.left {
+impl SpillAttempt<'_> {
+    /// Returns whether the request may use another region than the chosen one,
+    /// and counts it as a spill if so.
+    pub(super) fn may_spill(&mut self) -> bool {
+        if !self.spilled {
             let allowed = self.with_limit(|limit, cfg| limit.try_spill(cfg, Instant::now()));
-            self.left = allowed.unwrap_or(false);
-            if !self.left {
+            self.spilled = allowed.unwrap_or(false);
+            if !self.spilled {
                 metrics::counter!("spill_refused_total").increment(1);
             }
         }
-        self.left
+        self.spilled
     }
 
-    /// The request got a slot, in the chosen region or in another one.
-    pub(super) fn runs_in(&mut self, chosen: bool) {
-        if !chosen {
+    /// Records that the request got a slot, in the chosen region or in another
+    /// one.
+    pub(super) fn record_placement(&mut self, in_chosen_region: bool) {
+        if !in_chosen_region {
             metrics::counter!("spill_total").increment(1);
-            self.left = false;
+            self.spilled = false;
         }
     }
 
@@ -82,9 +87,9 @@
     }
 }
 
-impl Drop for Spill<'_> {
+impl Drop for SpillAttempt<'_> {
     fn drop(&mut self) {
-        if self.left {
+        if self.spilled {
             self.with_limit(SpillLimit::cancel_spill);
         }
     }
