--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -279,18 +279,18 @@
         (number, rx)
     }
 
-    /// Admits waiting requests as far as tokens go, and returns when the next
-    /// token is expected.
+    /// Admits waiting requests while tokens are available. Returns when the next
+    /// token is expected, or `None` when the queue is empty.
     fn serve_queue(&mut self, now: Instant) -> Option<Instant> {
         while !self.queue.is_empty() {
-            let verdict = match self.ledger.retry(now) {
+            let result = match self.ledger.retry(now) {
                 Decision::Admitted => Ok(()),
                 Decision::Refused(refusal) => Err(refusal),
                 Decision::Wait { retry_at } => return retry_at,
             };
             if let Some(waiter) = self.next_waiter(now) {
-                // A request that gave up at this very moment loses its token.
-                let _ = waiter.tx.send(verdict);
+                // The token is lost if the request stopped waiting at this moment.
+                let _ = waiter.tx.send(result);
             }
         }
         self.clear_if_empty();
@@ -359,8 +359,8 @@
 async fn run_ledger(share: Arc<TeamShare>, links: Arc<PeerLinks>) {
     loop {
         let round = run_round(&share);
-        if let Some((request, round)) = round.request {
-            request_from_peers(&share, &links, &request, round);
+        if let Some((request, turn)) = round.request {
+            request_from_peers(&share, &links, &request, turn);
         }
         for action in round.loan_actions {
             send_loan_action(&share, &links, action);
@@ -398,21 +398,21 @@
     share: &Arc<TeamShare>,
     links: &Arc<PeerLinks>,
     request: &LoanRequest,
-    round: usize,
+    turn: usize,
 ) {
-    let peers = links.next_peers(PEERS_PER_REQUEST, round);
+    let peers = links.next_peers(PEERS_PER_REQUEST, turn);
     if peers.is_empty() {
         return;
     }
     let fraction = 1.0 / peers.len() as f64;
-    let vm_share = request.share.scaled(fraction);
+    let peer_share = request.share.scaled(fraction);
     for (peer, link) in peers {
         let request = LoanRequest {
             id: request.id.clone(),
-            share: vm_share,
+            share: peer_share,
             // Rounded up to a whole token, because a fraction of one admits no
             // request.
-            tokens: (request.tokens * fraction).ceil().min(vm_share.burst()),
+            tokens: (request.tokens * fraction).ceil().min(peer_share.burst()),
         };
         let share = Arc::clone(share);
         tokio::spawn(async move {
@@ -455,12 +455,12 @@
         match action {
             LoanAction::Renew(renewal) => {
                 let body = Body::RenewLoan((&share.name, &renewal).into());
-                if let Ok(Body::LoanRenewed(answer)) = link.call(body, PEER_TIMEOUT).await {
+                if let Ok(Body::LoanRenewed(reply)) = link.call(body, PEER_TIMEOUT).await {
                     let now = Instant::now();
                     share
                         .state()
                         .ledger
-                        .apply_renewal_reply(now, &renewal, answer.into());
+                        .apply_renewal_reply(now, &renewal, reply.into());
                 }
             }
             LoanAction::Return(returned) => {
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -131,14 +131,14 @@
     let refusal = Refusal::not_run(Cause::TooManyConnections);
     let (cause, outcome) = (refusal.cause(), refusal.outcome());
     let body = format!("{{\"cause\":\"{cause}\",\"outcome\":\"{outcome}\"}}");
-    let respond = format!(
+    let response = format!(
         "HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\n\
          content-type: application/json\r\ncontent-length: {}\r\n\
          filbertgrade-cause: {cause}\r\nfilbertgrade-outcome: {outcome}\r\n\r\n{body}",
         body.len()
     );
     let write = async {
-        stream.write_all(respond.as_bytes()).await?;
+        stream.write_all(response.as_bytes()).await?;
         stream.shutdown().await
     };
     let _ = tokio::time::timeout(Duration::from_secs(1), write).await;
@@ -172,7 +172,7 @@
     peer: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| respond(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| handle(Arc::clone(&entry), peer, req));
     let io = CallerIo::new(stream);
     let activity = io.activity();
     let mut server = pin!(
@@ -200,7 +200,7 @@
     peer: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| respond(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| handle(Arc::clone(&entry), peer, req));
     let mut server = pin!(
         http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
@@ -220,14 +220,14 @@
     let _ = server.await;
 }
 
-async fn respond(
+async fn handle(
     entry: Arc<Entry>,
     peer: SocketAddr,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let arrived = Instant::now();
     let version = req.version();
-    let mut respond = if req.method() == Method::GET && req.uri().path() == "/v1/lookup" {
+    let mut response = if req.method() == Method::GET && req.uri().path() == "/v1/lookup" {
         handle_lookup(&entry, peer, &req)
     } else {
         forward::forward(&entry, req, arrived)
@@ -237,11 +237,11 @@
     if entry.is_leaving() && version < Version::HTTP_2 {
         // Makes the caller open its next connection to another VM, instead of
         // sending a request while this VM closes the connection.
-        respond
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(respond)
+    Ok(response)
 }
 
 fn handle_lookup(entry: &Entry, peer: SocketAddr, req: &Request<Incoming>) -> Response<Body> {
--- a/crates/filbertgrade/src/process/entry/dump.rs
+++ b/crates/filbertgrade/src/process/entry/dump.rs
@@ -30,7 +30,7 @@
         return Err("no configuration is in force");
     }
     if !entry.is_valid(Instant::now()) {
-        return Err("the state is not valid: the VM is isolated or its agent is silent");
+        return Err("the state is not valid: the VM is isolated or its agent does not respond");
     }
     Ok(())
 }
--- a/crates/filbertgrade/src/process/entry/links.rs
+++ b/crates/filbertgrade/src/process/entry/links.rs
@@ -59,13 +59,13 @@
         peers.get(vm).map(|peer| peer.link.clone())
     }
 
-    /// Returns up to `count` peers for round `turn`. Successive rounds go
-    /// through all peers in turn.
-    pub(crate) fn next_peers(&self, count: usize, round: usize) -> Vec<(VmName, PeerLink)> {
+    /// Returns up to `count` peers. Successive values of `turn` go through all
+    /// peers in order.
+    pub(crate) fn next_peers(&self, count: usize, turn: usize) -> Vec<(VmName, PeerLink)> {
         let peers = read(&self.peers);
         let total = peers.len();
         (0..count.min(total))
-            .filter_map(|n| peers.get_index((round * count + n) % total))
+            .filter_map(|n| peers.get_index((turn * count + n) % total))
             .map(|(vm, peer)| (vm.clone(), peer.link.clone()))
             .collect()
     }
--- a/crates/filbertgrade/src/process/entry/response.rs
+++ b/crates/filbertgrade/src/process/entry/response.rs
@@ -30,10 +30,10 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseError {
     /// The backend server's response ended before its announced end.
-    #[error("the backend server's answer is cut: {0}")]
+    #[error("the backend server's response ended early: {0}")]
     Cut(hyper::Error),
     /// The caller's deadline passed before the response was complete.
-    #[error("the deadline passed before the end of the answer")]
+    #[error("the deadline passed before the end of the response")]
     DeadlinePassed,
 }
 
--- a/crates/filbertgrade/src/process/entry/shutdown.rs
+++ b/crates/filbertgrade/src/process/entry/shutdown.rs
@@ -13,8 +13,8 @@
 /// responses.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
 
-/// Longest time for returning loans. Their lease is 2 s, so a loan that was not
-/// returned by then has expired.
+/// Longest time for returning loans. It equals the lease of a loan (2 s), after
+/// which a loan that was not returned expires.
 const LOAN_RETURN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest time until the units of a leaving VM have been moved to other VMs:
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -47,7 +47,7 @@
 /// Team name used for requests on open routes in fair queueing.
 const OPEN_TEAM: &str = "open";
 
-/// Finds slots for requests.
+/// Acquires slots for requests. Clones share their state.
 #[derive(Clone, Debug)]
 pub(crate) struct Slots {
     shared: Arc<Shared>,
@@ -512,8 +512,8 @@
                 pool.end_all_ejections(Instant::now());
             }
             match pool.acquire(Instant::now(), request) {
-                pool::AcquireStep::Done(reply) => return reply,
-                pool::AcquireStep::Wait(ticket, rx) => (ticket, rx),
+                pool::AcquireResult::Done(reply) => return reply,
+                pool::AcquireResult::Queued(ticket, rx) => (ticket, rx),
             }
         };
         let cancel_on_drop = CancelOnDrop {
--- a/crates/filbertgrade/src/process/entry/slots/pool.rs
+++ b/crates/filbertgrade/src/process/entry/slots/pool.rs
@@ -18,7 +18,7 @@
 
 /// Lease of a permit before its first renewal. After a network partition
 /// between VMs, slot requests whose callers gave up long ago arrive all at once
-/// and take every slot. With a lease of 2 s they kept the slots for 2 s.
+/// and take every slot. With a lease of 2 s they occupied the slots for that long.
 const FIRST_LEASE: Duration = Duration::from_millis(500);
 
 /// Backoff for an endpoint that reported that it is draining. Afterwards one
@@ -48,10 +48,10 @@
 }
 
 /// Result of requesting a slot from the pool.
-pub(super) enum AcquireStep {
+pub(super) enum AcquireResult {
     Done(PoolReply),
-    /// Wait for the reply. The ticket cancels the request.
-    Wait(Ticket, oneshot::Receiver<PoolReply>),
+    /// The reply follows later; the ticket serves to cancel the request.
+    Queued(Ticket, oneshot::Receiver<PoolReply>),
 }
 
 impl OwnedPool {
@@ -92,8 +92,8 @@
             if endpoint.drained {
                 drained.insert(name.clone());
             }
-            let closed = endpoint.drained || self.ejected.contains_key(&name);
-            granted.extend(self.pool.set_draining(now, &name, closed));
+            let excluded = endpoint.drained || self.ejected.contains_key(&name);
+            granted.extend(self.pool.set_draining(now, &name, excluded));
             addresses.insert(name, endpoint.address);
         }
         self.drained = drained;
@@ -107,14 +107,14 @@
         self.deliver(now, granted);
     }
 
-    pub(super) fn acquire(&mut self, now: Instant, request: SlotRequest) -> AcquireStep {
+    pub(super) fn acquire(&mut self, now: Instant, request: SlotRequest) -> AcquireResult {
         match self.pool.acquire(now, request) {
-            AcquireOutcome::Granted(grant) => AcquireStep::Done(self.reply_for(&grant)),
-            AcquireOutcome::Refused(refusal) => AcquireStep::Done(Err(refusal)),
+            AcquireOutcome::Granted(grant) => AcquireResult::Done(self.reply_for(&grant)),
+            AcquireOutcome::Refused(refusal) => AcquireResult::Done(Err(refusal)),
             AcquireOutcome::Queued(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 self.waiting.insert(ticket, tx);
-                AcquireStep::Wait(ticket, rx)
+                AcquireResult::Queued(ticket, rx)
             }
         }
     }
