--- a/crates/filbertgrade/tests/path/bad_input.rs
+++ b/crates/filbertgrade/tests/path/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input from callers: a clear refusal at a bounded cost.
+//! Malformed or slow input from callers: a clear refusal at a bounded cost.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,12 +11,12 @@
 use crate::fleet::Fleet;
 use crate::scenario::ready_fleet;
 
-/// Time in which the entry must have ended a connection that is too slow:
-/// its limit of 10 s, and room for a busy machine.
-const SLOW_BOUND: Duration = Duration::from_secs(14);
+/// Time within which the entry must have ended a connection that is too slow:
+/// its limit of 10 s plus a margin for a busy machine.
+const SLOW_CALLER_LIMIT: Duration = Duration::from_secs(14);
 
-/// Guards against malformed heads that reach a backend server, or end without
-/// a status. `KEY` stands for a valid key.
+/// Guards against malformed request heads that reach a backend server or end
+/// without a status. `KEY` stands for a valid API key.
 #[rstest]
 #[case::not_http("hello\r\n\r\n".to_owned(), "400")]
 #[case::oversized_header(get(&format!("x-big: {}\r\n", "a".repeat(200_000))), "431")]
@@ -32,14 +32,14 @@
     let (fleet, secret) = ready_fleet(1).await;
     let ran = runs(&fleet);
     let head = head.replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1."), "{answer}");
-    assert_eq!(&answer[9..12], status, "{answer}");
+    let response = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1."), "{response}");
+    assert_eq!(&response[9..12], status, "{response}");
     assert_eq!(runs(&fleet), ran);
 }
 
-/// Guards against headers that a backend server must not see: the key in any
-/// header, a team that the caller claims, and those of one connection only.
+/// Guards against headers that a backend server must not see: the API key in
+/// any header, a team that the caller claims to be, and hop-by-hop headers.
 #[tokio::test(flavor = "multi_thread")]
 async fn backend_server_sees_the_team_of_the_key_and_never_the_key() {
     let (fleet, secret) = ready_fleet(1).await;
@@ -48,8 +48,8 @@
                     connection: close, x-hop\r\nx-hop: KEY\r\n",
     )
     .replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let records = fleet.backends.iter().map(BackendServer::records);
     let records: Vec<_> = records.collect();
     assert!(records.iter().all(|r| r.key_seen == 0));
@@ -61,8 +61,9 @@
     assert_eq!(teams, [Some("atelier")]);
 }
 
-/// Guards against a body that is left out because its size is not announced,
-/// and against a second length that makes a part of it look like a request.
+/// Guards against a body that is omitted because its length is not announced,
+/// and against request smuggling through a second length that makes part of the
+/// body look like another request.
 #[rstest]
 #[case::get_without_length("GET", "")]
 #[case::post_with_two_lengths("POST", "content-length: 3\r\n")]
@@ -75,8 +76,8 @@
          x-request-id: chunked\r\n{header}transfer-encoding: chunked\r\n\r\n\
          5\r\nhello\r\n0\r\n\r\n"
     );
-    let answer = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let response = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let records = fleet.backends.iter().map(BackendServer::records);
     let of_id = records
         .flat_map(|r| r.runs)
@@ -85,7 +86,7 @@
     assert_eq!(runs(&fleet), ran + 1);
 }
 
-/// Guards against callers that hold a connection or a slot by being slow.
+/// Guards against slow callers that occupy a connection or a slot.
 #[rstest]
 #[case::nothing("", "")]
 #[case::preface("PRI * HTTP/2.0\r\n", "")]
@@ -99,27 +100,27 @@
     "408 slow_body unknown"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn slow_caller_is_ended(#[case] sent: &str, #[case] refusal: &str) {
+async fn slow_caller_is_disconnected(#[case] sent: &str, #[case] refusal: &str) {
     let (fleet, secret) = ready_fleet(1).await;
     let start = Instant::now();
     let sent = sent.replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
-    assert!(start.elapsed() < SLOW_BOUND);
-    assert_eq!(refusal_of(&answer), refusal, "{answer}");
-    // The end of the connection takes a moment to reach the backend server.
+    let response = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
+    assert!(start.elapsed() < SLOW_CALLER_LIMIT);
+    assert_eq!(parse_refusal(&response), refusal, "{response}");
+    // The backend server notices the end of the connection a moment later.
     let start = Instant::now();
     while fleet.backends.iter().any(|b| b.busy() > 0) {
         assert!(
             start.elapsed() < Duration::from_secs(1),
-            "a slot stays busy"
+            "a slot is still occupied"
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(fleet.backends.iter().all(|b| b.ran("slow") == 0));
 }
 
-/// Guards against a fleet of idle connections that uses up a VM's memory, and
-/// against callers that learn nothing when it does.
+/// Guards against idle connections that exhaust a VM's memory, and against
+/// callers that get no refusal when the limit is reached.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_beyond_the_limit_are_refused() {
     let (fleet, _) = ready_fleet(1).await;
@@ -128,8 +129,8 @@
     for _ in 0..4100 {
         open.push(TcpStream::connect(callers).await.unwrap());
     }
-    let answer = exchange(callers, b"").await;
-    assert_eq!(refusal_of(&answer), "503 too_many_connections not_run");
+    let response = exchange(callers, b"").await;
+    assert_eq!(parse_refusal(&response), "503 too_many_connections not_run");
     drop(open);
     let start = Instant::now();
     while !exchange(callers, b"GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n")
@@ -138,7 +139,7 @@
     {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "the limit stays reached"
+            "connections are still refused"
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -152,19 +153,19 @@
     fleet.backends.iter().map(|b| b.records().runs.len()).sum()
 }
 
-/// Sends bytes and reads what comes until the end of the connection, or of
-/// the first answer.
+/// Sends bytes and reads until the connection ends or the first response head
+/// is complete.
 async fn exchange(callers: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(callers).await.unwrap();
     let (mut read, mut write) = stream.split();
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let reading = async {
-        let mut part = [0; 4096];
-        while let Ok(n) = read.read(&mut part).await {
-            answer.extend_from_slice(&part[..n]);
-            let text = String::from_utf8_lossy(&answer);
-            let ended = text.contains("\r\n\r\n");
-            if n == 0 || ended {
+        let mut buffer = [0; 4096];
+        while let Ok(n) = read.read(&mut buffer).await {
+            response.extend_from_slice(&buffer[..n]);
+            let text = String::from_utf8_lossy(&response);
+            let head_complete = text.contains("\r\n\r\n");
+            if n == 0 || head_complete {
                 break;
             }
         }
@@ -178,22 +179,23 @@
         () = writing => {}
         () = tokio::time::sleep(Duration::from_secs(30)) => {}
     }
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Status, cause and outcome of a refusal; empty when there is no answer.
-fn refusal_of(answer: &str) -> String {
-    if answer.is_empty() {
+/// Returns the status, cause and outcome of a refusal; empty when there was no
+/// response.
+fn parse_refusal(response: &str) -> String {
+    if response.is_empty() {
         return String::new();
     }
     let header = |name: &str| {
-        let line = answer.lines().find_map(|line| line.strip_prefix(name));
+        let line = response.lines().find_map(|line| line.strip_prefix(name));
         line.unwrap_or("").to_owned()
     };
     let cause = header("filbertgrade-cause: ");
     format!(
         "{} {cause} {}",
-        &answer[9..12],
+        &response[9..12],
         header("filbertgrade-outcome: ")
     )
 }
--- a/crates/filbertgrade/tests/path/decisions.rs
+++ b/crates/filbertgrade/tests/path/decisions.rs
@@ -1,5 +1,5 @@
-//! Properties of the decisions after a failed attempt, the retry budget, and
-//! what callers may set.
+//! Properties of the decision after a failed attempt, of the retry budget, and
+//! of the limits that callers may set.
 
 use std::time::{Duration, Instant};
 
@@ -28,7 +28,7 @@
     ])
 }
 
-fn situations() -> impl Strategy<Value = RetryContext> {
+fn contexts() -> impl Strategy<Value = RetryContext> {
     let state = select(vec![
         AttemptState::NotSent,
         AttemptState::PartlySent,
@@ -67,61 +67,61 @@
 }
 
 proptest! {
-    /// Guards against an order that runs twice: after a byte left, only an
-    /// explicit refusal lets it be sent again.
+    /// Guards against a non-idempotent request that runs twice: once a byte has
+    /// been sent, only an explicit refusal permits sending it again.
     #[test]
-    fn non_idempotent_request_is_not_sent_again_after_a_byte_left(
-        failure in failures(), situation in situations(),
+    fn non_idempotent_request_is_not_sent_again_after_a_byte_was_sent(
+        failure in failures(), context in contexts(),
     ) {
-        prop_assume!(!situation.idempotent && situation.state > AttemptState::NotSent);
+        prop_assume!(!context.idempotent && context.state > AttemptState::NotSent);
         prop_assume!(!is_explicit(failure));
-        let step = next_step(failure, &situation);
+        let step = next_step(failure, &context);
         prop_assert!(!matches!(step, NextStep::Retry { .. }), "{:?}", step);
     }
 
-    /// Guards against a false refusal as not run.
+    /// Guards against a "not run" refusal of a request that may have run.
     #[test]
-    fn refusal_as_not_run_is_true(failure in failures(), situation in situations()) {
-        if let NextStep::RefuseNotRun(_) = next_step(failure, &situation) {
-            prop_assert!(situation.state == AttemptState::NotSent || is_explicit(failure));
-            prop_assert!(!situation.earlier_may_have_run);
+    fn not_run_refusal_is_true(failure in failures(), context in contexts()) {
+        if let NextStep::RefuseNotRun(_) = next_step(failure, &context) {
+            prop_assert!(context.state == AttemptState::NotSent || is_explicit(failure));
+            prop_assert!(!context.earlier_may_have_run);
         }
     }
 
-    /// Guards against refusals as unknown of requests that did not run, which
-    /// callers cannot repeat.
+    /// Guards against an "unknown" refusal of a request that did not run,
+    /// because callers cannot safely repeat such a request.
     #[test]
-    fn refusal_as_unknown_needs_a_reason(failure in failures(), situation in situations()) {
-        if let NextStep::RefuseUnknown(_) = next_step(failure, &situation) {
-            let sent = situation.state > AttemptState::NotSent && !is_explicit(failure);
-            prop_assert!(sent || situation.earlier_may_have_run);
+    fn unknown_refusal_requires_a_possible_run(failure in failures(), context in contexts()) {
+        if let NextStep::RefuseUnknown(_) = next_step(failure, &context) {
+            let sent = context.state > AttemptState::NotSent && !is_explicit(failure);
+            prop_assert!(sent || context.earlier_may_have_run);
         }
     }
 
-    /// Guards against retries beyond the budget, the deadline, the number of
-    /// attempts, or without the body.
+    /// Guards against retries beyond the budget, the deadline or the number of
+    /// attempts, and against retries without the body.
     #[test]
-    fn retries_are_bounded(failure in failures(), situation in situations()) {
-        if let NextStep::Retry { spends_budget, .. } = next_step(failure, &situation) {
-            prop_assert!(situation.now < situation.deadline);
-            prop_assert!(situation.replayable && situation.attempts < 4);
-            prop_assert!(!spends_budget || situation.budget_available);
-            let sent = situation.state > AttemptState::NotSent && !is_explicit(failure);
+    fn retries_are_bounded(failure in failures(), context in contexts()) {
+        if let NextStep::Retry { spends_budget, .. } = next_step(failure, &context) {
+            prop_assert!(context.now < context.deadline);
+            prop_assert!(context.replayable && context.attempts < 4);
+            prop_assert!(!spends_budget || context.budget_available);
+            let sent = context.state > AttemptState::NotSent && !is_explicit(failure);
             prop_assert_eq!(spends_budget, sent);
         }
     }
 
-    /// Guards against a second answer after the first one began.
+    /// Guards against a second response after the first one has started.
     #[test]
-    fn answer_that_began_is_aborted(situation in situations()) {
-        prop_assume!(situation.state == AttemptState::ResponseStarted);
+    fn response_that_started_is_aborted(context in contexts()) {
+        prop_assume!(context.state == AttemptState::ResponseStarted);
         for failure in [Failure::ResponseCut, Failure::DeadlinePassed] {
-            prop_assert_eq!(next_step(failure, &situation), NextStep::AbortResponse);
+            prop_assert_eq!(next_step(failure, &context), NextStep::AbortResponse);
         }
     }
 
-    /// Guards against a storm of retries: at most a tenth of live traffic, the
-    /// floor, and the floor again for each second.
+    /// Guards against a retry storm: at most a tenth of the requests may be
+    /// retried, plus the minimum budget of 3 and one more for each second.
     #[test]
     fn retry_budget_follows_traffic(steps in proptest::collection::vec((0_u8..20, 0_u64..200), 1..200)) {
         let start = Instant::now();
@@ -142,7 +142,8 @@
         prop_assert!(f64::from(retries) <= allowed + 1e-6);
     }
 
-    /// Guards against a panic or a wrap on any header a caller can send.
+    /// Guards against a panic or an integer overflow for any header a caller
+    /// can send.
     #[test]
     fn any_deadline_is_bounded_or_refused_as_not_run(text in any::<Vec<u8>>(), ms in any::<u64>()) {
         for value in [text, ms.to_string().into_bytes()] {
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A VM that is stopped under load cuts no request.
+//! Graceful stop of a VM under load.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,28 +14,29 @@
 
 use crate::scenario::ready_fleet;
 
-/// Guards against a stop that cuts a request on a connection that callers
-/// keep open and use without a pause, or that never ends because they do.
+/// Guards against a stop that cuts requests on connections that callers use
+/// without a pause, and against one that never ends because of such
+/// connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_under_load_cuts_no_request() {
     let (mut fleet, secret) = ready_fleet(2).await;
     let vm = fleet.vms[0].callers();
-    let expired = Arc::new(AtomicBool::new(false));
+    let lookup_expired = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
     for n in 0..6 {
         let secret = secret.clone();
-        let expired = Arc::clone(&expired);
+        let lookup_expired = Arc::clone(&lookup_expired);
         let with_http2 = n % 2 == 0;
         callers.push(tokio::spawn(async move {
             let mut served = 0;
             let mut refused = Vec::new();
-            while !expired.load(Ordering::Relaxed) {
+            while !lookup_expired.load(Ordering::Relaxed) {
                 let stream = TcpStream::connect(vm).await.unwrap();
                 let tag = format!("{n}-{served}");
                 served += if with_http2 {
-                    over_http2(stream, &secret, &tag, &mut refused).await
+                    send_over_http2(stream, &secret, &tag, &mut refused).await
                 } else {
-                    over_http1(stream, &secret, &tag).await
+                    send_over_http1(stream, &secret, &tag).await
                 };
             }
             (served, refused)
@@ -48,16 +49,19 @@
         .status()
         .unwrap();
 
-    // Callers may connect until their look-up answers expire after 1 s.
+    // Callers may connect until their look-up answers expire, which takes 1 s.
     tokio::time::sleep(Duration::from_millis(800)).await;
-    expired.store(true, Ordering::Relaxed);
+    lookup_expired.store(true, Ordering::Relaxed);
 
     for caller in callers {
         let (served, refused) = caller.await.unwrap();
         assert!(served > 0);
         for id in refused {
             let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
-            assert_eq!(ran, 0, "{id} ran, but the connection told that it did not");
+            assert_eq!(
+                ran, 0,
+                "{id} ran although GOAWAY reported it as not processed"
+            );
         }
     }
     let start = Instant::now();
@@ -71,7 +75,7 @@
     assert!(status.success(), "{status}");
 }
 
-fn order(secret: &str, target: &str, id: &str) -> Request<Full<Bytes>> {
+fn post_request(secret: &str, target: &str, id: &str) -> Request<Full<Bytes>> {
     Request::post(target)
         .header("host", "chart")
         .header("x-request-id", id)
@@ -80,29 +84,31 @@
         .unwrap()
 }
 
-/// Sends orders until the answer says that the connection ends.
-async fn over_http1(stream: TcpStream, secret: &str, tag: &str) -> usize {
+/// Sends POST requests until a response announces that the connection closes.
+/// Returns the number of requests sent.
+async fn send_over_http1(stream: TcpStream, secret: &str, tag: &str) -> usize {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
     for n in 0.. {
         let id = format!("{tag}-{n}");
-        let req = order(secret, "/chart/order?bytes=20000", &id);
-        let answer = sender.send_request(req).await;
-        let answer = answer.unwrap_or_else(|e| panic!("{id} is cut: {e}"));
-        assert_eq!(answer.status(), 200, "{id}: {:?}", answer.headers());
-        let ends = answer.headers().contains_key("connection");
-        let body = answer.into_body().collect().await.unwrap().to_bytes();
+        let req = post_request(secret, "/chart/order?bytes=20000", &id);
+        let response = sender.send_request(req).await;
+        let response = response.unwrap_or_else(|e| panic!("{id} is cut: {e}"));
+        assert_eq!(response.status(), 200, "{id}: {:?}", response.headers());
+        let closes = response.headers().contains_key("connection");
+        let body = response.into_body().collect().await.unwrap().to_bytes();
         assert!(body == expected_answer(&id, b"", 20_000), "{id}");
-        if ends {
+        if closes {
             return n + 1;
         }
     }
     0
 }
 
-/// Sends orders until the VM accepts no more on this connection, and notes the
-/// order that the end of the connection (GOAWAY) told not to be processed.
-async fn over_http2(
+/// Sends POST requests until the VM accepts no more on this connection. Adds
+/// the request that GOAWAY reported as not processed to `refused`. Returns the
+/// number of requests that were served.
+async fn send_over_http2(
     stream: TcpStream,
     secret: &str,
     tag: &str,
@@ -114,22 +120,22 @@
     tokio::spawn(connection);
     for n in 0.. {
         let id = format!("{tag}-{n}");
-        let req = order(secret, "http://chart/chart/order?bytes=20000", &id);
+        let req = post_request(secret, "http://chart/chart/order?bytes=20000", &id);
         if sender.ready().await.is_err() {
             return n;
         }
-        let answer = match sender.try_send_request(req).await {
-            Ok(answer) => answer,
+        let response = match sender.try_send_request(req).await {
+            Ok(response) => response,
             Err(error) => {
                 let text = format!("{error:?}");
-                let told = text.contains("GoAway") || text.contains("Canceled");
-                assert!(told, "{id} is cut: {text}");
+                let not_processed = text.contains("GoAway") || text.contains("Canceled");
+                assert!(not_processed, "{id} is cut: {text}");
                 refused.push(id);
                 return n;
             }
         };
-        assert_eq!(answer.status(), 200, "{id}: {:?}", answer.headers());
-        let body = answer.into_body().collect().await.unwrap().to_bytes();
+        assert_eq!(response.status(), 200, "{id}: {:?}", response.headers());
+        let body = response.into_body().collect().await.unwrap().to_bytes();
         assert!(body == expected_answer(&id, b"", 20_000), "{id}");
     }
     0
--- a/crates/filbertgrade/tests/path/http2.rs
+++ b/crates/filbertgrade/tests/path/http2.rs
@@ -1,4 +1,4 @@
-//! Callers that use HTTP/2.
+//! Tests with callers that use HTTP/2.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::scenario::ready_fleet;
 
-/// Guards against answers that reach another caller when they arrive in
-/// another order than the requests, on many connections at a time.
+/// Guards against responses that reach the wrong stream or caller when they
+/// arrive in another order than the requests, on several connections at a time.
 #[tokio::test(flavor = "multi_thread")]
-async fn crossed_answers_reach_the_right_streams() {
+async fn reordered_responses_reach_the_right_streams() {
     let (fleet, secret) = ready_fleet(1).await;
-    let mut callers = Vec::new();
+    let mut tasks = Vec::new();
     for caller in 0..4 {
         let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
             .await
@@ -38,14 +38,15 @@
             .header("authorization", format!("Bearer {secret}"))
             .body(Full::<Bytes>::from(id.clone()))
             .unwrap();
-            callers.push(tokio::spawn(async move {
-                let answer = sender.send_request(req).await.unwrap();
-                let status = answer.status();
-                let body = answer.into_body().collect().await.unwrap().to_bytes();
+            tasks.push(tokio::spawn(async move {
+                let response = sender.send_request(req).await.unwrap();
+                let status = response.status();
+                let body = response.into_body().collect().await.unwrap().to_bytes();
                 if status == 200 {
                     assert!(body == expected_answer(&id, id.as_bytes(), bytes), "{id}");
                 } else {
-                    // The stand-in sheds when all its slots are busy.
+                    // The backend server sheds requests when all of its slots
+                    // are busy.
                     assert_eq!(status, 503, "{id}");
                 }
                 (id, status == 200)
@@ -53,19 +54,19 @@
         }
     }
     let mut served = 0;
-    for caller in callers {
-        let (id, whole) = caller.await.unwrap();
+    for task in tasks {
+        let (id, was_served) = task.await.unwrap();
         let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
-        assert_eq!(ran, u64::from(whole), "{id}");
-        served += u64::from(whole);
+        assert_eq!(ran, u64::from(was_served), "{id}");
+        served += u64::from(was_served);
     }
     assert!(served > 0);
 }
 
-/// Guards against a late answer, whose caller gave up, that reaches the next
-/// request.
+/// Guards against a late response, whose caller has given up, that is delivered
+/// to the next request.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answer_reaches_nobody_else() {
+async fn late_response_is_not_delivered_to_another_request() {
     let (fleet, secret) = ready_fleet(1).await;
     let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
         .await
@@ -87,14 +88,14 @@
         let late = request(&format!("late-{n}"), 30);
         let _ = tokio::time::timeout(Duration::from_millis(10 + n), late).await;
         let id = format!("next-{n}");
-        let answer = request(&id, 1).await.unwrap();
-        let body = answer.into_body().collect().await.unwrap().to_bytes();
+        let response = request(&id, 1).await.unwrap();
+        let body = response.into_body().collect().await.unwrap().to_bytes();
         assert!(body == expected_answer(&id, b"", 500), "{id}");
     }
 }
 
-/// Guards against headers without a bound, and against one bad stream that
-/// ends the others of its connection.
+/// Guards against headers of unlimited size, and against one bad stream that
+/// ends the other streams of its connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn oversized_headers_end_their_stream_only() {
     let (fleet, secret) = ready_fleet(1).await;
@@ -117,7 +118,7 @@
     };
     let other = request("other", 10);
     let big = request("big", 80_000).await;
-    assert!(big.is_err() || big.is_ok_and(|answer| answer.status() == 431));
+    assert!(big.is_err() || big.is_ok_and(|response| response.status() == 431));
     assert_eq!(other.await.unwrap().status(), 200);
     assert!(fleet.backends.iter().all(|b| b.ran("big") == 0));
 }
--- a/crates/filbertgrade/tests/path/main.rs
+++ b/crates/filbertgrade/tests/path/main.rs
@@ -1,4 +1,5 @@
-//! The request path under failure, with real processes on loopback addresses.
+//! Tests of the request path under failures, with real processes on loopback
+//! addresses.
 
 #![expect(
     clippy::unwrap_used,
@@ -9,8 +10,8 @@
 #[expect(dead_code, reason = "the harness serves more than these tests")]
 mod fleet;
 
-mod bad_answers;
 mod bad_input;
+mod bad_responses;
 mod decisions;
 mod graceful_stop;
 mod http2;
--- a/crates/filbertgrade/tests/path/pool.rs
+++ b/crates/filbertgrade/tests/path/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one backend server.
+//! Tests of the connection pool for one backend server.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 
 const LOCAL: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// Counts connections from their acceptance until their end was read. The
-/// stand-in for backend servers counts them a moment longer than the other
-/// side can see them open.
+/// Counts connections from their acceptance until the server has read their
+/// end. The backend server of the stand-ins is not used here, because it counts
+/// a connection as open for a moment after the client side has closed it.
 #[derive(Debug, Default)]
-struct Count {
+struct ConnectionCount {
     open: AtomicUsize,
     peak: AtomicUsize,
 }
 
-/// Answers every request after 2 ms.
-async fn counting_server() -> (SocketAddr, Arc<Count>) {
+/// Starts a server that responds to every request after 2 ms.
+async fn counting_server() -> (SocketAddr, Arc<ConnectionCount>) {
     let listener = TcpListener::bind((LOCAL, 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let count = Arc::new(Count::default());
+    let count = Arc::new(ConnectionCount::default());
     let counting = Arc::clone(&count);
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -38,8 +38,8 @@
                 let mut request = [0; 4096];
                 while stream.read(&mut request).await.is_ok_and(|n| n > 0) {
                     tokio::time::sleep(Duration::from_millis(2)).await;
-                    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-                    let _ = stream.write_all(answer).await;
+                    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+                    let _ = stream.write_all(response).await;
                 }
                 counting.open.fetch_sub(1, Ordering::SeqCst);
             });
@@ -48,7 +48,7 @@
     (address, count)
 }
 
-fn need(endpoint: SocketAddr, limit: usize, idempotent: bool) -> CheckoutParams {
+fn params(endpoint: SocketAddr, limit: usize, idempotent: bool) -> CheckoutParams {
     CheckoutParams {
         endpoint,
         limit,
@@ -57,8 +57,8 @@
     }
 }
 
-async fn run(pool: &Pool, need: &CheckoutParams, give_up: bool) {
-    let mut connection = pool.checkout(need).await.unwrap();
+async fn run_request(pool: &Pool, params: &CheckoutParams, give_up: bool) {
+    let mut connection = pool.checkout(params).await.unwrap();
     let req = Request::get("/chart/x")
         .header("host", "chart")
         .body(Empty::<Bytes>::new().map_err(|e| match e {}).boxed_unsync())
@@ -68,14 +68,14 @@
         let _ = tokio::time::timeout(Duration::from_millis(1), sending).await;
         return;
     }
-    let answer = connection.send(req).await.unwrap();
-    answer.into_body().collect().await.unwrap();
+    let response = connection.send(req).await.unwrap();
+    response.into_body().collect().await.unwrap();
     pool.put_back(connection.finish(Instant::now()));
 }
 
-/// Guards against more connections than the VM's part of an endpoint's limit,
-/// also while connections are closed and replaced, and against a request that
-/// waits for ever although a connection is free.
+/// Guards against more open connections than the VM's share of an endpoint's
+/// limit, also while connections are closed and replaced, and against a request
+/// that waits forever although a connection is free.
 #[tokio::test(flavor = "multi_thread")]
 async fn open_connections_stay_within_the_limit() {
     let (address, count) = counting_server().await;
@@ -83,9 +83,9 @@
     let mut tasks = Vec::new();
     for n in 0..300 {
         let pool = Arc::clone(&pool);
-        let need = need(address, 3, n % 2 == 0);
+        let params = params(address, 3, n % 2 == 0);
         tasks.push(tokio::spawn(async move {
-            run(&pool, &need, n % 7 == 0).await;
+            run_request(&pool, &params, n % 7 == 0).await;
         }));
     }
     for task in tasks {
@@ -95,35 +95,36 @@
     assert!(peak <= 3, "{peak} connections were open at once");
 }
 
-/// Guards against an order on a connection whose proof of life is old.
+/// Guards against sending a non-idempotent request on a connection that has not
+/// been verified recently.
 #[tokio::test(flavor = "multi_thread")]
-async fn old_connection_takes_only_idempotent_requests() {
+async fn unverified_connection_is_used_only_for_idempotent_requests() {
     let (address, _) = counting_server().await;
     let pool = Pool::new(LOCAL);
-    run(&pool, &need(address, 10, false), false).await;
+    run_request(&pool, &params(address, 10, false), false).await;
     assert!(
-        pool.checkout(&need(address, 10, false))
+        pool.checkout(&params(address, 10, false))
             .await
             .unwrap()
             .is_reused()
     );
 
-    run(&pool, &need(address, 10, false), false).await;
+    run_request(&pool, &params(address, 10, false), false).await;
     tokio::time::sleep(Duration::from_millis(1100)).await;
-    let order = pool.checkout(&need(address, 10, false)).await.unwrap();
-    assert!(!order.is_reused());
+    let connection = pool.checkout(&params(address, 10, false)).await.unwrap();
+    assert!(!connection.is_reused());
     assert!(
-        pool.checkout(&need(address, 10, true))
+        pool.checkout(&params(address, 10, true))
             .await
             .unwrap()
             .is_reused()
     );
 
-    run(&pool, &need(address, 10, false), false).await;
+    run_request(&pool, &params(address, 10, false), false).await;
     pool.close_idle(address);
     assert!(
         !pool
-            .checkout(&need(address, 10, true))
+            .checkout(&params(address, 10, true))
             .await
             .unwrap()
             .is_reused()
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults under load: what callers are told must be true.
+//! Random faults under load: the outcomes reported to callers must be true.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,67 +15,68 @@
 use crate::fleet::{Fleet, send};
 use crate::scenario::ready_fleet;
 
-/// Time for which faults are injected.
-const RUN: Duration = Duration::from_secs(4);
+/// How long faults are injected.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
 
-/// Times that a caller sends an order with the same idempotency key, until it
-/// gets its answer.
-const KEYED_SENDS: usize = 4;
+/// How often a caller sends a request with the same idempotency key until it is
+/// served.
+const MAX_KEYED_SENDS: usize = 4;
 
-/// Callers that send one request after the other.
-const CALLERS: u64 = 6;
+/// Number of callers. Each sends one request after the other.
+const CALLER_COUNT: u64 = 6;
 
-/// How a request ended for its caller.
+/// Result of a request as its caller observed it.
 #[derive(Debug)]
-struct End {
+struct RequestResult {
     id: String,
-    order: bool,
-    /// Status and outcome header; `None` when the answer was cut or missing.
-    answer: Option<(u16, Option<String>)>,
+    non_idempotent: bool,
+    /// Status and outcome header; `None` when the response was cut or missing.
+    response: Option<(u16, Option<String>)>,
 }
 
-/// Guards against an order that runs twice, a refusal as not run of a request
-/// that ran, and an answer of another request, under any mix of faults.
+/// Guards, under any mix of faults, against a non-idempotent request that runs
+/// twice, a "not run" refusal of a request that ran, and a response that
+/// belongs to another request.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_callers_are_told_is_true(#[values(1, 2, 3)] seed: u64) {
+async fn reported_outcomes_match_the_runs(#[values(1, 2, 3)] seed: u64) {
     let (fleet, secret) = ready_fleet(2).await;
-    let until = Instant::now() + RUN;
+    let until = Instant::now() + FAULT_DURATION;
     let vms = [fleet.vms[0].callers(), fleet.vms[1].callers()];
-    let callers: Vec<_> = (0..CALLERS)
-        .map(|n| tokio::spawn(call(vms, secret.clone(), seed * 100 + n, until)))
+    let callers: Vec<_> = (0..CALLER_COUNT)
+        .map(|n| tokio::spawn(run_caller(vms, secret.clone(), seed * 100 + n, until)))
         .collect();
-    inject(&fleet, seed, until).await;
-    let mut ends = Vec::new();
+    inject_faults(&fleet, seed, until).await;
+    let mut results = Vec::new();
     for caller in callers {
-        ends.extend(caller.await.unwrap());
+        results.extend(caller.await.unwrap());
     }
 
-    let mut whole = 0;
-    for end in &ends {
-        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&end.id)).sum();
-        if end.order {
-            assert!(ran <= 1, "ran {ran} times: {end:?}");
+    let mut served = 0;
+    for result in &results {
+        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&result.id)).sum();
+        if result.non_idempotent {
+            assert!(ran <= 1, "ran {ran} times: {result:?}");
         }
-        match &end.answer {
+        match &result.response {
             Some((_, Some(outcome))) if outcome == "not_run" => {
-                assert_eq!(ran, 0, "{end:?}");
+                assert_eq!(ran, 0, "{result:?}");
             }
             Some((200, None)) => {
-                assert!(ran >= 1, "{end:?}");
-                whole += 1;
+                assert!(ran >= 1, "{result:?}");
+                served += 1;
             }
             _ => {}
         }
     }
     assert!(
-        whole > ends.len() / 4,
-        "{whole} of {} are whole",
-        ends.len()
+        served > results.len() / 4,
+        "{served} of {} requests were served",
+        results.len()
     );
 }
 
-async fn inject(fleet: &Fleet, seed: u64, until: Instant) {
+async fn inject_faults(fleet: &Fleet, seed: u64, until: Instant) {
     let mut rng = StdRng::seed_from_u64(seed);
     while Instant::now() < until {
         let n = rng.random_range(0..2);
@@ -115,16 +116,21 @@
     }
 }
 
-async fn call(vms: [SocketAddr; 2], secret: String, seed: u64, until: Instant) -> Vec<End> {
+async fn run_caller(
+    vms: [SocketAddr; 2],
+    secret: String,
+    seed: u64,
+    until: Instant,
+) -> Vec<RequestResult> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut ends: Vec<End> = Vec::new();
+    let mut results: Vec<RequestResult> = Vec::new();
     while Instant::now() < until {
-        let id = format!("{seed}-{}", ends.len());
-        let order = rng.random_bool(0.6);
-        let keyed = order && rng.random_bool(0.3);
+        let id = format!("{seed}-{}", results.len());
+        let non_idempotent = rng.random_bool(0.6);
+        let keyed = non_idempotent && rng.random_bool(0.3);
         let body = Bytes::from(vec![b'x'; rng.random_range(0..3000)]);
         let req = Request::builder()
-            .method(if order { "POST" } else { "GET" })
+            .method(if non_idempotent { "POST" } else { "GET" })
             .uri("/chart/x?bytes=1000&chunked=1")
             .header("host", "chart")
             .header("x-request-id", &id)
@@ -137,37 +143,41 @@
         }
         let expected = expected_answer(&id, &body, 1000);
         let first = seed as usize % 2;
-        let mut end = end_of(vms[first], req.clone(), &id, &expected).await;
+        let mut result = send_and_check(vms[first], req.clone(), &id, &expected).await;
         let mut sends = 1;
-        while keyed && sends < KEYED_SENDS && !matches!(end, Some((200, _))) {
-            end = end_of(vms[(first + sends) % 2], req.clone(), &id, &expected).await;
+        while keyed && sends < MAX_KEYED_SENDS && !matches!(result, Some((200, _))) {
+            result = send_and_check(vms[(first + sends) % 2], req.clone(), &id, &expected).await;
             sends += 1;
         }
         if keyed && sends > 1 {
-            // It tells about the last attempt only.
-            end = end.filter(|(status, _)| *status == 200);
+            // A refusal describes the last attempt only, so it is not compared
+            // with the number of runs of all attempts.
+            result = result.filter(|(status, _)| *status == 200);
         }
-        ends.push(End {
+        results.push(RequestResult {
             id,
-            order,
-            answer: end,
+            non_idempotent,
+            response: result,
         });
     }
-    ends
+    results
 }
 
-async fn end_of(
+async fn send_and_check(
     vm: SocketAddr,
     req: Request<Full<Bytes>>,
     id: &str,
     expected: &Bytes,
 ) -> Option<(u16, Option<String>)> {
-    let answer = send(vm, req).await.ok()?;
-    let outcome = answer.headers().get("filbertgrade-outcome");
+    let response = send(vm, req).await.ok()?;
+    let outcome = response.headers().get("filbertgrade-outcome");
     let outcome = outcome.and_then(|o| o.to_str().ok()).map(str::to_owned);
-    let status = answer.status().as_u16();
+    let status = response.status().as_u16();
     if status == 200 {
-        assert!(answer.body() == expected, "another answer to {id}");
+        assert!(
+            response.body() == expected,
+            "{id} got the response of another request"
+        );
     }
     Some((status, outcome))
 }
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -1,19 +1,22 @@
 //! Runs the scenarios of `tests/path/scenarios/`, one test for each file.
 //!
-//! Commands; `n` counts from 1:
-//! - `request ID [vm=n] [method=M] [service=S] [query=Q] [body=BYTES] [idem=KEY]
-//!   [deadline=MS]`: sends a request and prints how it ended. `whole` means
-//!   that the answer is the one that the request id and body must give.
-//! - `start ID ...`: the same in the background; `await ID` prints the end,
-//!   `abandon ID` closes its connection.
-//! - `ran ID`: how often the backend servers ran it; `cancelled n`,
-//!   `deadline_exceeded n`: how many requests ended so at a backend server.
-//! - `backend n FAULT=VALUE`, `proxy n FAULT=VALUE`, `platform FAULT=VALUE`.
-//!   `proxy n gone=true` closes its address; later ones move up.
-//! - `record KEY`: state and status of an idempotency key in the platform.
-//! - `occupy n requests=N ms=MS`: fills slots of a backend server directly.
-//! - `connect n`: leaves an idle connection of a caller open.
-//! - `sleep MS`, `signal n [name=INT]`, `exit n`, `names n vm=m`.
+//! Commands; `n` counts from 1: - `request ID [vm=n] [method=M] [service=S]
+//! [query=Q] [body=BYTES] [idem=KEY] [deadline=MS]`: sends a request and prints
+//! its result. `whole` means that the response body is exactly the one that
+//! follows from the request id and body. - `start ID ...`: like `request`, but
+//! in the background; `await ID` prints the result, `abandon ID` closes the
+//! connection. - `ran ID`: prints how often the backend servers ran the
+//! request. `cancelled n` and `deadline_exceeded n`: print how many requests
+//! ended that way at a backend server. - `backend n FAULT=VALUE`, `proxy n
+//! FAULT=VALUE`, `platform FAULT=VALUE`: sets a fault. `proxy n gone=true`
+//! closes the proxy's address; the proxies after it are renumbered. - `record
+//! KEY`: prints the state and status of an idempotency key that the platform
+//! stores. - `occupy n requests=N ms=MS`: occupies slots of a backend server
+//! directly. - `connect n`: opens a caller's connection and leaves it idle. -
+//! `sleep MS`: waits. - `signal n [name=INT]`: sends a signal to an entry
+//! process, SIGTERM by default. - `exit n`: waits for an entry process to exit
+//! and prints its exit status. - `names n vm=m`: prints whether a look-up at VM
+//! `n` returns VM `m`.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -40,17 +43,18 @@
 fn scenario(#[files("tests/path/scenarios/*")] path: PathBuf) {
     let runtime = Runtime::new().unwrap();
     let (fleet, secret) = runtime.block_on(ready_fleet(2));
-    let mut world = World {
+    let mut runner = ScenarioRunner {
         runtime,
         fleet,
         secret,
         running: HashMap::new(),
         idle: Vec::new(),
     };
-    goldenscript::run(&mut world, path).unwrap();
+    goldenscript::run(&mut runner, path).unwrap();
 }
 
-/// A fleet that serves requests with the key that is returned.
+/// Starts a fleet and waits until every VM serves requests with the returned
+/// key.
 pub(crate) async fn ready_fleet(vms: u8) -> (Fleet, String) {
     let fleet = Fleet::start(vms).await;
     fleet.apply().await;
@@ -67,23 +71,23 @@
     (fleet, secret)
 }
 
-struct World {
+struct ScenarioRunner {
     runtime: Runtime,
     fleet: Fleet,
     secret: String,
     running: HashMap<String, JoinHandle<String>>,
-    /// Callers' connections without a request.
+    /// Idle connections of callers.
     idle: Vec<std::net::TcpStream>,
 }
 
-/// A request and what its whole answer must be.
-struct Sending {
+/// A request and the response body that is expected for it.
+struct TestRequest {
     vm: SocketAddr,
     req: Request<Full<Bytes>>,
     expected: Bytes,
 }
 
-impl Runner for World {
+impl Runner for ScenarioRunner {
     type Command = Command;
 
     fn run(&mut self, command: &Command, _: &Context) -> Result<String, Box<dyn Error>> {
@@ -91,13 +95,13 @@
         let mut first = || args.next_pos().unwrap_or_default().to_owned();
         Ok(match command.name.as_str() {
             "request" => {
-                let sending = self.sending(command)?;
-                self.runtime.block_on(outcome(sending))
+                let test_request = self.test_request(command)?;
+                self.runtime.block_on(send_and_describe(test_request))
             }
             "start" => {
                 let id = first();
-                let sending = self.sending(command)?;
-                let task = self.runtime.spawn(outcome(sending));
+                let test_request = self.test_request(command)?;
+                let task = self.runtime.spawn(send_and_describe(test_request));
                 self.running.insert(id, task);
                 String::new()
             }
@@ -152,19 +156,20 @@
                 String::new()
             }
             "exit" => self.exit(first().parse()?)?,
-            "names" => self.names(command)?,
+            "names" => self.lookup_names(command)?,
             name => return Err(format!("unknown command {name}").into()),
         })
     }
 
-    // An empty line would look like a command without effect.
+    // Without this, goldenscript prints an empty line, which would look like a
+    // command without effect.
     fn end_command(&mut self, _: &Command, _: &Context) -> Result<String, Box<dyn Error>> {
         Ok(String::new())
     }
 }
 
-impl World {
-    fn sending(&self, command: &Command) -> Result<Sending, Box<dyn Error>> {
+impl ScenarioRunner {
+    fn test_request(&self, command: &Command) -> Result<TestRequest, Box<dyn Error>> {
         let mut args = command.consume_args();
         let id = args.next_pos().ok_or("no request id")?;
         let vm: usize = args.take_key("vm").unwrap_or("1").parse()?;
@@ -190,7 +195,7 @@
             .find_map(|part| part.strip_prefix("bytes="))
             .unwrap_or("64")
             .parse()?;
-        Ok(Sending {
+        Ok(TestRequest {
             vm: self.fleet.vms[vm - 1].callers(),
             expected: expected_answer(id, &body, size),
             req: req.body(Full::new(body))?,
@@ -264,8 +269,8 @@
         Ok(String::new())
     }
 
-    /// Waits for a moment, because the end of an attempt is recorded after
-    /// its answer.
+    /// Waits briefly before reading, because the result of an attempt is
+    /// recorded after its response.
     fn record(&self, key: &str) -> String {
         use sha2::Digest;
         let digest = sha2::Sha256::digest(key.as_bytes());
@@ -282,7 +287,7 @@
         format!("{} {}", record["state"], record["status"]).replace('"', "")
     }
 
-    /// Returns when the slots are busy.
+    /// Returns once the slots are occupied.
     fn occupy(&self, command: &Command) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
         let n: usize = args.next_pos().ok_or("no backend server")?.parse()?;
@@ -316,26 +321,26 @@
         Ok("still running".to_owned())
     }
 
-    fn names(&self, command: &Command) -> Result<String, Box<dyn Error>> {
+    fn lookup_names(&self, command: &Command) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
         let n: usize = args.next_pos().ok_or("no VM")?.parse()?;
-        let named = format!("vm-{}", args.take_key("vm").ok_or("no named VM")?);
+        let vm_name = format!("vm-{}", args.take_key("vm").ok_or("no named VM")?);
         let req = Request::get("/v1/lookup?client=10.1.0.1")
             .header("host", "lookup")
             .body(Full::default())?;
-        let answer = self
+        let response = self
             .runtime
             .block_on(send(self.fleet.vms[n - 1].callers(), req))
             .map_err(|e| e.to_string())?;
-        let answer: serde_json::Value = serde_json::from_slice(answer.body())?;
-        let vms = answer["vms"].as_array().ok_or("no VMs")?;
-        Ok(vms.iter().any(|vm| vm["vm"] == named).to_string())
+        let response: serde_json::Value = serde_json::from_slice(response.body())?;
+        let vms = response["vms"].as_array().ok_or("no VMs")?;
+        Ok(vms.iter().any(|vm| vm["vm"] == vm_name).to_string())
     }
 }
 
-/// Sends a request on a connection of its own and tells how it ended.
-async fn outcome(sending: Sending) -> String {
-    let Ok(stream) = tokio::net::TcpStream::connect(sending.vm).await else {
+/// Sends a request on a new connection and returns a description of the result.
+async fn send_and_describe(test_request: TestRequest) -> String {
+    let Ok(stream) = tokio::net::TcpStream::connect(test_request.vm).await else {
         return "no connection".to_owned();
     };
     let Ok((mut sender, connection)) =
@@ -343,20 +348,20 @@
     else {
         return "no connection".to_owned();
     };
-    // Both run in this task, so that the connection ends when it is aborted.
-    let answer = async move {
-        let answer = sender.send_request(sending.req).await;
-        match answer {
-            Ok(answer) => describe(answer, &sending.expected).await,
+    // Both run in this task, so that aborting the task closes the connection.
+    let response = async move {
+        let response = sender.send_request(test_request.req).await;
+        match response {
+            Ok(response) => describe(response, &test_request.expected).await,
             Err(_) => "no answer".to_owned(),
         }
     };
-    let (answer, _) = tokio::join!(answer, connection);
-    answer
+    let (response, _) = tokio::join!(response, connection);
+    response
 }
 
-async fn describe(answer: Response<hyper::body::Incoming>, expected: &Bytes) -> String {
-    let (parts, body) = answer.into_parts();
+async fn describe(response: Response<hyper::body::Incoming>, expected: &Bytes) -> String {
+    let (parts, body) = response.into_parts();
     let header = |name| parts.headers.get(name).and_then(|v| v.to_str().ok());
     let mut text = parts.status.as_u16().to_string();
     if let (Some(cause), Some(outcome)) =
