--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -1,22 +1,27 @@
 //! Runs the scenarios of `tests/path/scenarios/`, one test for each file.
 //!
-//! Commands; `n` counts from 1: - `request ID [vm=n] [method=M] [service=S]
-//! [query=Q] [body=BYTES] [idem=KEY] [deadline=MS]`: sends a request and prints
-//! its result. `whole` means that the response body is exactly the one that
-//! follows from the request id and body. - `start ID ...`: like `request`, but
-//! in the background; `await ID` prints the result, `abandon ID` closes the
-//! connection. - `ran ID`: prints how often the backend servers ran the
-//! request. `cancelled n` and `deadline_exceeded n`: print how many requests
-//! ended that way at a backend server. - `backend n FAULT=VALUE`, `proxy n
-//! FAULT=VALUE`, `platform FAULT=VALUE`: sets a fault. `proxy n gone=true`
-//! closes the proxy's address; the proxies after it are renumbered. - `record
-//! KEY`: prints the state and status of an idempotency key that the platform
-//! stores. - `occupy n requests=N ms=MS`: occupies slots of a backend server
-//! directly. - `connect n`: opens a caller's connection and leaves it idle. -
-//! `sleep MS`: waits. - `signal n [name=INT]`: sends a signal to an entry
-//! process, SIGTERM by default. - `exit n`: waits for an entry process to exit
-//! and prints its exit status. - `names n vm=m`: prints whether a look-up at VM
-//! `n` returns VM `m`.
+//! Commands; `n` counts from 1:
+//! - `request ID [vm=n] [method=M] [service=S] [query=Q] [body=BYTES] [idem=KEY]
+//!   [deadline=MS]`: sends a request and prints its result. `whole` means that
+//!   the response body is exactly the one that follows from the request id and
+//!   body.
+//! - `start ID ...`: like `request`, but in the background; `await ID` prints the
+//!   result, `abandon ID` closes the connection.
+//! - `ran ID`: prints how often the backend servers ran the request.
+//!   `cancelled n` and `deadline_exceeded n`: print how many requests ended that
+//!   way at a backend server.
+//! - `backend n FAULT=VALUE`, `proxy n FAULT=VALUE`, `platform FAULT=VALUE`: sets
+//!   a fault. `proxy n gone=true` closes the proxy's address; the proxies after
+//!   it are renumbered.
+//! - `record KEY`: prints the state and status of an idempotency key that the
+//!   platform stores.
+//! - `occupy n requests=N ms=MS`: occupies slots of a backend server directly.
+//! - `connect n`: opens a caller's connection and leaves it idle.
+//! - `sleep MS`: waits.
+//! - `signal n [name=INT]`: sends a signal to an entry process, SIGTERM by
+//!   default.
+//! - `exit n`: waits for an entry process to exit and prints its exit status.
+//! - `names n vm=m`: prints whether a look-up at VM `n` returns VM `m`.
 
 use std::collections::HashMap;
 use std::error::Error;
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -68,7 +68,7 @@
     );
     // The steering weights decide in which region the request runs.
     let busy: usize = fleet.backends.iter().map(BackendServer::busy).sum();
-    assert!(busy == 1, "the answer is still running");
+    assert!(busy == 1, "the response must still be in progress");
     let complete = response.into_body().collect().await.unwrap().to_bytes();
     assert_eq!(complete.len(), 100_000_000);
 }
@@ -119,7 +119,7 @@
         if n < 50 {
             chunk(b'u')
         } else {
-            Err(std::io::Error::other("the caller goes away"))
+            Err(std::io::Error::other("the caller disconnects"))
         }
     });
     let response = stream_to(&fleet, &secret, "cut-upload", body).await;
