--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one endpoint.
+//! One attempt to have an endpoint handle a request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,25 +11,27 @@
 use hyper::body::Incoming;
 
 use super::Node;
-use super::answer::{self, Body, Relay};
-use super::body::{Held, hold};
+use super::body::{BufferedBody, buffer_body};
 use super::request::Call;
+use super::responses::{self, Body, StreamedResponse};
 use crate::connection::{Busy, CheckoutParams, Connection, PoolError, RequestBody};
 use crate::logfmt;
 use crate::request::{AttemptState, Failure};
 use crate::sync::lock;
 
-/// Longest answer that is held until it is whole, so that one that is cut can
-/// be replaced by another attempt.
-const HELD_ANSWER_BYTES: usize = 256 * 1024;
+/// Longest response that is buffered completely before it is passed on. If the
+/// connection fails meanwhile, another attempt can still replace it.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
 
-/// Part of the time for which an endpoint keeps an idle connection that it is
-/// used. A request on a connection that the endpoint closes meanwhile is lost.
-const KEEP_ALIVE_USED: f64 = 0.7;
+/// Fraction of the endpoint's keep-alive time for which an idle connection is
+/// reused. A request is lost if the endpoint closes the connection while it is
+/// being sent.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
-/// An attempt that counts at its endpoint until it ends.
+/// An attempt that the balancer counts as load of its endpoint until it ends. If
+/// dropped before, it ends as cancelled.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct RunningAttempt {
     node: Arc<Node>,
     target: Target,
     object: u64,
@@ -37,26 +39,28 @@
     ended: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
-pub(super) enum Reply {
-    /// The endpoint answered.
-    Answer(Response<Body>),
-    /// The endpoint ran the request and says that it failed.
-    Failed(Response<Body>),
-    /// There is no answer to pass on.
-    NoAnswer {
-        /// What happened.
+pub(super) enum AttemptResult {
+    /// The endpoint ran the request. A server error is included only if its
+    /// body is streamed.
+    Response(Response<Body>),
+    /// The endpoint ran the request and returned a server error, whose body has
+    /// been buffered.
+    ServerError(Response<Body>),
+    /// There is no response to pass on.
+    Failed {
+        /// Why there is none.
         failure: Failure,
-        /// How far the attempt got.
+        /// How much of the request was sent.
         state: AttemptState,
     },
 }
 
-/// A body that was read, as far as it is held.
-type Answered = (response::Parts, Held);
+/// A response whose body has been read as far as it is buffered.
+type BufferedResponse = (response::Parts, BufferedBody);
 
-impl Running {
+impl RunningAttempt {
     pub(super) fn new(node: &Arc<Node>, target: Target, object: u64) -> Self {
         Self {
             node: Arc::clone(node),
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns the connection to the pool after a complete response.
     pub(super) fn put_back(&self, connection: Connection<Busy>, idle_limit: Duration) {
         let connection = connection.finish(Instant::now());
         self.node
@@ -75,28 +79,30 @@
             .put_back_with_idle_limit(connection, idle_limit);
     }
 
+    /// Reports the outcome to the balancer, and logs if that ejects the endpoint.
     fn end(&mut self, outcome: Outcome, report: Option<LoadReport>) {
         self.ended = true;
         let now = Instant::now();
-        let rest =
+        let backoff =
             lock(&self.node.balancer).finish(&self.target, self.object, outcome, report, now);
-        if let Some(rest) = rest {
+        if let Some(backoff) = backoff {
             log::warn!(
                 "event=endpoint_rests endpoint={} address={} service={} ms={}",
                 logfmt::value(&self.target.key),
                 self.target.address,
                 self.target.service,
-                rest.as_millis(),
+                backoff.as_millis(),
             );
         }
     }
 
+    /// Time since the start of the attempt.
     fn latency(&self) -> Duration {
         self.started.elapsed()
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningAttempt {
     fn drop(&mut self) {
         if !self.ended {
             self.end(Outcome::Cancelled, None);
@@ -104,45 +110,51 @@
     }
 }
 
-/// Sends a request to an endpoint and reads its answer.
-pub(super) async fn run(node: &Arc<Node>, call: &Call, target: Target, body: RequestBody) -> Reply {
-    let mut running = Running::new(node, target, call.object);
-    let need = CheckoutParams {
-        endpoint: running.target.address,
+/// Sends a request to an endpoint and reads its response.
+pub(super) async fn run(
+    node: &Arc<Node>,
+    call: &Call,
+    target: Target,
+    body: RequestBody,
+) -> AttemptResult {
+    let mut attempt = RunningAttempt::new(node, target, call.object);
+    let params = CheckoutParams {
+        endpoint: attempt.target.address,
         limit: connection_limit(node, call),
         idempotent: call.route.kind.is_idempotent(),
         deadline: call.deadline,
     };
-    let connection = match node.pool.checkout(&need).await {
+    let connection = match node.pool.checkout(&params).await {
         Ok(connection) => connection,
-        Err(error) => return not_connected(&mut running, call, &error),
+        Err(error) => return connection_failed(&mut attempt, call, &error),
     };
     if !connection.is_reused() {
-        let time = running.latency();
-        lock(&node.balancer).record_connect_time(&running.target.region, time);
+        let connect_time = attempt.latency();
+        lock(&node.balancer).record_connect_time(&attempt.target.region, connect_time);
         metrics::counter!("backend_connections_total").increment(1);
     }
-    let Some(req) = request_for(call, &running.target, body) else {
-        return no_answer(
-            &mut running,
+    let Some(req) = build_request(call, &attempt.target, body) else {
+        return no_response(
+            &mut attempt,
             call,
             Failure::DeadlinePassed,
             AttemptState::NotSent,
         );
     };
-    exchange(running, call, connection, req).await
+    exchange(attempt, call, connection, req).await
 }
 
+/// Sends the request on the connection, and reads and checks the response.
 async fn exchange(
-    mut running: Running,
+    mut attempt: RunningAttempt,
     call: &Call,
     mut connection: Connection<Busy>,
     req: Request<RequestBody>,
-) -> Reply {
+) -> AttemptResult {
     let reused = connection.is_reused();
     let sent = tokio::time::timeout_at(call.deadline.into(), connection.send(req)).await;
-    let answer = match sent {
-        Ok(Ok(answer)) => answer,
+    let response = match sent {
+        Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             let state = close(connection).await;
             log::debug!(
@@ -150,8 +162,8 @@
                 call.id(),
                 logfmt::value(&error)
             );
-            return no_answer(
-                &mut running,
+            return no_response(
+                &mut attempt,
                 call,
                 Failure::ConnectionLost { reused },
                 state,
@@ -159,26 +171,28 @@
         }
         Err(_) => {
             let state = close(connection).await;
-            return no_answer(&mut running, call, Failure::DeadlinePassed, state);
+            return no_response(&mut attempt, call, Failure::DeadlinePassed, state);
         }
     };
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let head = ResponseHead::read(parts.status, &parts.headers);
-    if let Some(failure) = fault_of(&head, parts.status, call) {
+    if let Some(failure) = response_failure(&head, parts.status, call) {
         drop(connection);
-        return no_answer(&mut running, call, failure, AttemptState::FullySent);
+        return no_response(&mut attempt, call, failure, AttemptState::FullySent);
     }
     let idle_limit = idle_limit(&head);
-    let held = match read(parts, body, call).await {
-        Ok(held) => held,
+    let buffered = match buffer_response(parts, body, call).await {
+        Ok(buffered) => buffered,
         Err(failure) => {
             drop(connection);
-            return no_answer(&mut running, call, failure, AttemptState::FullySent);
+            return no_response(&mut attempt, call, failure, AttemptState::FullySent);
         }
     };
-    finish(running, call, connection, &head, held, idle_limit)
+    finish(attempt, call, connection, &head, buffered, idle_limit)
 }
 
+/// Closes the connection, and returns how much of the request may have arrived
+/// at the endpoint. A partly sent request is treated as a fully sent one.
 async fn close(connection: Connection<Busy>) -> AttemptState {
     if connection.close().await {
         AttemptState::FullySent
@@ -187,55 +201,62 @@
     }
 }
 
-/// Passes a checked answer on, or says why it cannot be.
+/// Ends the attempt with a response whose head has been checked. A response that
+/// says that the endpoint did not run the request becomes a failure.
 fn finish(
-    mut running: Running,
+    mut attempt: RunningAttempt,
     call: &Call,
     connection: Connection<Busy>,
     head: &ResponseHead,
-    (parts, held): Answered,
+    (parts, body): BufferedResponse,
     idle_limit: Duration,
-) -> Reply {
-    let bytes = match held {
-        Held::Whole(bytes) => bytes,
-        Held::Begun(begun, rest) => {
-            running.end_answered(head, &parts, call);
-            let relay = Relay {
-                begun: Some(begun),
-                rest,
+) -> AttemptResult {
+    let bytes = match body {
+        BufferedBody::Complete(bytes) => bytes,
+        BufferedBody::Partial(start, remaining) => {
+            attempt.end_with_response(head, &parts, call);
+            let streamed = StreamedResponse {
+                start: Some(start),
+                remaining,
                 connection,
-                running,
+                attempt,
                 deadline: call.deadline,
                 idle_limit,
             };
-            return Reply::Answer(answer::relayed(parts, relay));
+            return AttemptResult::Response(responses::streamed(parts, streamed));
         }
     };
-    running.put_back(connection, idle_limit);
+    attempt.put_back(connection, idle_limit);
     match head.kind {
         ResponseKind::NotRun => {
             let failure = Failure::Shed;
-            refused(&mut running, call, failure, Outcome::Refused, head.load)
+            refused(&mut attempt, call, failure, Outcome::Refused, head.load)
         }
         ResponseKind::Misdirected => {
             let failure = Failure::Misdirected;
-            refused(&mut running, call, failure, Outcome::Mismatched, None)
+            refused(&mut attempt, call, failure, Outcome::Mismatched, None)
         }
         ResponseKind::Run => {
-            let failed = running.end_answered(head, &parts, call);
-            let answer = answer::whole(parts, bytes);
+            let failed = attempt.end_with_response(head, &parts, call);
+            let response = responses::buffered(parts, bytes);
             if failed {
-                Reply::Failed(answer)
+                AttemptResult::ServerError(response)
             } else {
-                Reply::Answer(answer)
+                AttemptResult::Response(response)
             }
         }
     }
 }
 
-impl Running {
-    /// Ends the attempt with an answer. Returns whether the work failed.
-    fn end_answered(&mut self, head: &ResponseHead, parts: &response::Parts, call: &Call) -> bool {
+impl RunningAttempt {
+    /// Ends the attempt with a response of an endpoint that ran the request.
+    /// Returns whether it is a server error.
+    fn end_with_response(
+        &mut self,
+        head: &ResponseHead,
+        parts: &response::Parts,
+        call: &Call,
+    ) -> bool {
         let failed = parts.status.is_server_error();
         let latency = self.latency();
         self.end(Outcome::Answered { latency, failed }, head.load);
@@ -265,45 +286,57 @@
     }
 }
 
+/// Ends an attempt whose request the endpoint refused to run.
 fn refused(
-    running: &mut Running,
+    attempt: &mut RunningAttempt,
     call: &Call,
     failure: Failure,
     outcome: Outcome,
     report: Option<LoadReport>,
-) -> Reply {
-    running.end(outcome, report);
-    running.log(call, result_name(failure), None);
+) -> AttemptResult {
+    attempt.end(outcome, report);
+    attempt.log(call, result_name(failure), None);
     metrics::counter!("backend_refusals_total", "cause" => result_name(failure)).increment(1);
     let state = AttemptState::FullySent;
-    Reply::NoAnswer { failure, state }
+    AttemptResult::Failed { failure, state }
 }
 
-fn no_answer(running: &mut Running, call: &Call, failure: Failure, state: AttemptState) -> Reply {
+/// Ends an attempt without a valid response.
+fn no_response(
+    attempt: &mut RunningAttempt,
+    call: &Call,
+    failure: Failure,
+    state: AttemptState,
+) -> AttemptResult {
     let outcome = match failure {
         Failure::NoConnection => Outcome::Unreachable,
         Failure::DeadlinePassed if state == AttemptState::NotSent => Outcome::Cancelled,
         Failure::DeadlinePassed => Outcome::TimedOut,
-        // A connection that the endpoint closed while it was idle.
+        // The endpoint closed the connection while it was idle.
         Failure::ConnectionLost { reused: true } if state == AttemptState::NotSent => {
             Outcome::Cancelled
         }
         _ => Outcome::ConnectionLost,
     };
-    running.end(outcome, None);
-    running.log(call, result_name(failure), None);
+    attempt.end(outcome, None);
+    attempt.log(call, result_name(failure), None);
     metrics::counter!("backend_failures_total", "cause" => result_name(failure)).increment(1);
-    Reply::NoAnswer { failure, state }
+    AttemptResult::Failed { failure, state }
 }
 
-fn not_connected(running: &mut Running, call: &Call, error: &PoolError) -> Reply {
+fn connection_failed(
+    attempt: &mut RunningAttempt,
+    call: &Call,
+    error: &PoolError,
+) -> AttemptResult {
     let failure = match error {
         PoolError::Connect { .. } => Failure::NoConnection,
         PoolError::Full(_) => Failure::DeadlinePassed,
     };
-    no_answer(running, call, failure, AttemptState::NotSent)
+    no_response(attempt, call, failure, AttemptState::NotSent)
 }
 
+/// Name of the failure in log lines and as the `cause` label of metrics.
 fn result_name(failure: Failure) -> &'static str {
     match failure {
         Failure::NoConnection => "no_connection",
@@ -321,36 +354,48 @@
     }
 }
 
-/// Why an answer is not the answer to this request.
-fn fault_of(head: &ResponseHead, status: StatusCode, call: &Call) -> Option<Failure> {
-    let own = match (&head.id, &call.head.id) {
+/// Checks that a response belongs to this request and comes from a backend
+/// server. Returns the failure if it does not.
+fn response_failure(head: &ResponseHead, status: StatusCode, call: &Call) -> Option<Failure> {
+    let id_matches = match (&head.id, &call.head.id) {
         (Some(echoed), Some(sent)) => echoed == sent,
-        // Refusals need not name the request; every other answer does.
+        // Only refusals may omit the id of the request.
         (None, Some(_)) => head.kind != ResponseKind::Run,
         (_, None) => true,
     };
     let unsigned = status.is_success() && !head.signed;
-    (!own || unsigned).then_some(Failure::MalformedResponse)
+    (!id_matches || unsigned).then_some(Failure::MalformedResponse)
 }
 
-async fn read(parts: response::Parts, body: Incoming, call: &Call) -> Result<Answered, Failure> {
+async fn buffer_response(
+    parts: response::Parts,
+    body: Incoming,
+    call: &Call,
+) -> Result<BufferedResponse, Failure> {
     if body.is_end_stream() {
-        return Ok((parts, Held::Whole(Bytes::new())));
+        return Ok((parts, BufferedBody::Complete(Bytes::new())));
     }
-    match tokio::time::timeout_at(call.deadline.into(), hold(body, HELD_ANSWER_BYTES)).await {
-        Ok(Ok(held)) => Ok((parts, held)),
+    match tokio::time::timeout_at(
+        call.deadline.into(),
+        buffer_body(body, MAX_BUFFERED_RESPONSE_BYTES),
+    )
+    .await
+    {
+        Ok(Ok(body)) => Ok((parts, body)),
         Ok(Err(_)) => Err(Failure::ResponseCut),
         Err(_) => Err(Failure::DeadlinePassed),
     }
 }
 
+/// How long the connection may be idle after the response.
 fn idle_limit(head: &ResponseHead) -> Duration {
-    head.keep_alive
-        .map_or(super::IDLE_LIMIT, |time| time.mul_f64(KEEP_ALIVE_USED))
+    head.keep_alive.map_or(super::IDLE_LIMIT, |keep_alive| {
+        keep_alive.mul_f64(KEEP_ALIVE_FRACTION)
+    })
 }
 
-/// The request as the endpoint gets it; `None` when no time is left.
-fn request_for(call: &Call, target: &Target, body: RequestBody) -> Option<Request<RequestBody>> {
+/// Builds the request for the endpoint; `None` if the deadline has passed.
+fn build_request(call: &Call, target: &Target, body: RequestBody) -> Option<Request<RequestBody>> {
     let time_left = call.deadline.saturating_duration_since(Instant::now());
     if time_left.is_zero() {
         return None;
@@ -371,14 +416,15 @@
     }
     .write(headers);
     if chunked {
-        // hyper leaves out the body of a GET without this header.
+        // Without this header, hyper does not send the body of a GET.
         let value = HeaderValue::from_static("chunked");
         headers.insert(http::header::TRANSFER_ENCODING, value);
     }
     Some(req)
 }
 
-/// Connections that this VM may have open to one endpoint of a service.
+/// Number of connections that this VM may have open to one endpoint: an equal
+/// share of the service's limit, which applies to all VMs together.
 fn connection_limit(node: &Node, call: &Call) -> usize {
     let deployment = node.deployment.load();
     let limit = deployment
--- a/crates/filbertgrade/src/process/node/body.rs
+++ b/crates/filbertgrade/src/process/node/body.rs
@@ -1,4 +1,4 @@
-//! Bodies that are held in memory, so that they can be sent again.
+//! Buffering of bodies in memory, so that an attempt can be repeated.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,149 +10,159 @@
 
 use crate::connection::RequestBody;
 
-/// Longest body that is held. Longer ones are passed on as they come and
-/// cannot be sent again.
-const HELD_BYTES: usize = 1024 * 1024;
+/// Longest request body that is buffered. A longer one is streamed to the
+/// backend server and cannot be sent again.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 
-/// Part of the memory of the process that bodies may take.
-const MEMORY_PART: u64 = 4;
+/// Request bodies may take the memory limit of the process divided by this.
+const MEMORY_DIVISOR: u64 = 4;
 
-/// Memory for bodies when the settings tell no limit.
-const DEFAULT_BYTES: u64 = 64 * 1024 * 1024;
+/// Memory for request bodies if the settings have no memory limit.
+const DEFAULT_BUDGET_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Bounds the memory that bodies take together.
+/// Limits the memory that all request bodies take together.
 #[derive(Debug)]
 pub(crate) struct BodyBudget {
-    left: Arc<AtomicU64>,
+    available: Arc<AtomicU64>,
 }
 
-/// Memory of one body, given back when dropped.
+/// Memory that is reserved for one body, and released on drop.
 #[derive(Debug)]
-struct Reserved {
+struct Reservation {
     bytes: u64,
-    left: Arc<AtomicU64>,
+    available: Arc<AtomicU64>,
 }
 
-/// A body: held as a whole, or only its beginning.
+/// A body that has been read up to a limit.
 #[derive(Debug)]
-pub(crate) enum Held {
+pub(crate) enum BufferedBody {
     /// The whole body.
-    Whole(Bytes),
-    /// What came so far, and the rest.
-    Begun(Bytes, Incoming),
+    Complete(Bytes),
+    /// The start of a body that exceeds the limit, and the remaining stream.
+    Partial(Bytes, Incoming),
 }
 
-/// A caller's body on its way to a backend server.
+/// The body of a caller's request.
 #[derive(Debug)]
 pub(crate) struct Upload {
-    held: Option<Held>,
-    /// Invariant: dropped with the body.
-    _memory: Option<Reserved>,
+    /// `None` once a partly buffered body was taken for an attempt.
+    body: Option<BufferedBody>,
+    /// Reserved until the upload is dropped; `None` for an empty body.
+    _reservation: Option<Reservation>,
 }
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum BodyFault {
-    /// It is larger than allowed.
-    #[error("the body is larger than allowed")]
+pub(crate) enum BodyError {
+    /// The announced length exceeds the configured limit.
+    #[error("the body exceeds the length limit")]
     TooLarge,
-    /// Other bodies take all memory.
-    #[error("other bodies take all memory")]
+    /// The memory for request bodies is in use by other requests.
+    #[error("the memory for request bodies is in use by other requests")]
     NoMemory,
-    /// It ended early.
+    /// The caller's stream failed before the end of the body.
     #[error("the body ended early")]
-    Cut,
+    Truncated,
 }
 
 impl BodyBudget {
+    /// Creates the budget for a process with this memory limit, if any.
     pub(crate) fn new(memory_bytes: Option<u64>) -> Self {
-        let bytes = memory_bytes.map_or(DEFAULT_BYTES, |bytes| bytes / MEMORY_PART);
+        let bytes = memory_bytes.map_or(DEFAULT_BUDGET_BYTES, |bytes| bytes / MEMORY_DIVISOR);
         Self {
-            left: Arc::new(AtomicU64::new(bytes)),
+            available: Arc::new(AtomicU64::new(bytes)),
         }
     }
 
-    /// Bytes that are free.
-    pub(crate) fn left(&self) -> u64 {
-        self.left.load(Ordering::Relaxed)
+    /// Number of bytes that are not reserved.
+    pub(crate) fn available(&self) -> u64 {
+        self.available.load(Ordering::Relaxed)
     }
 
-    fn reserve(&self, bytes: u64) -> Option<Reserved> {
-        self.left
-            .try_update(Ordering::AcqRel, Ordering::Acquire, |left| {
-                left.checked_sub(bytes)
+    fn reserve(&self, bytes: u64) -> Option<Reservation> {
+        self.available
+            .try_update(Ordering::AcqRel, Ordering::Acquire, |available| {
+                available.checked_sub(bytes)
             })
             .ok()?;
-        let left = Arc::clone(&self.left);
-        Some(Reserved { bytes, left })
+        let available = Arc::clone(&self.available);
+        Some(Reservation { bytes, available })
     }
 
-    /// Reads a caller's body, up to the length that is held.
-    pub(crate) async fn read(&self, body: Incoming, most_bytes: u64) -> Result<Upload, BodyFault> {
+    /// Reads the body of a caller's request up to [`MAX_BUFFERED_BYTES`], for
+    /// which it reserves memory. `max_bytes` limits the length that the caller
+    /// announces.
+    pub(crate) async fn read(&self, body: Incoming, max_bytes: u64) -> Result<Upload, BodyError> {
         let hint = body.size_hint();
-        if hint.lower() > most_bytes {
-            return Err(BodyFault::TooLarge);
+        if hint.lower() > max_bytes {
+            return Err(BodyError::TooLarge);
         }
         if body.is_end_stream() {
             return Ok(Upload {
-                held: Some(Held::Whole(Bytes::new())),
-                _memory: None,
+                body: Some(BufferedBody::Complete(Bytes::new())),
+                _reservation: None,
             });
         }
-        let held = hint
-            .upper()
-            .map_or(HELD_BYTES as u64, |n| n.min(HELD_BYTES as u64));
-        let memory = self.reserve(held).ok_or(BodyFault::NoMemory)?;
-        let held = hold(body, HELD_BYTES).await.map_err(|_| BodyFault::Cut)?;
+        let buffer_bytes = hint.upper().map_or(MAX_BUFFERED_BYTES as u64, |n| {
+            n.min(MAX_BUFFERED_BYTES as u64)
+        });
+        let reservation = self.reserve(buffer_bytes).ok_or(BodyError::NoMemory)?;
+        let body = buffer_body(body, MAX_BUFFERED_BYTES)
+            .await
+            .map_err(|_| BodyError::Truncated)?;
         Ok(Upload {
-            held: Some(held),
-            _memory: Some(memory),
+            body: Some(body),
+            _reservation: Some(reservation),
         })
     }
 }
 
-/// Reads a body up to `most` bytes.
-pub(crate) async fn hold(mut body: Incoming, most: usize) -> Result<Held, hyper::Error> {
+/// Reads a body until it is complete or more than `limit` bytes have arrived.
+pub(crate) async fn buffer_body(
+    mut body: Incoming,
+    limit: usize,
+) -> Result<BufferedBody, hyper::Error> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        // Trailers concern one connection only.
+        // Trailers are dropped, since they belong to one connection.
         if let Ok(data) = frame?.into_data() {
             bytes.extend_from_slice(&data);
         }
-        if bytes.len() > most {
-            return Ok(Held::Begun(bytes.freeze(), body));
+        if bytes.len() > limit {
+            return Ok(BufferedBody::Partial(bytes.freeze(), body));
         }
     }
-    Ok(Held::Whole(bytes.freeze()))
+    Ok(BufferedBody::Complete(bytes.freeze()))
 }
 
 impl Upload {
-    /// It can be sent again.
+    /// Whether the body is buffered completely, so that it can be sent in any
+    /// number of attempts.
     pub(crate) fn is_replayable(&self) -> bool {
-        matches!(self.held, Some(Held::Whole(_)))
+        matches!(self.body, Some(BufferedBody::Complete(_)))
     }
 
-    /// The body for one attempt; `None` when it was sent and cannot be sent
-    /// again.
+    /// Returns the body for one attempt; `None` if it was taken before and
+    /// cannot be sent again.
     pub(crate) fn take(&mut self) -> Option<RequestBody> {
-        match self.held.take()? {
-            Held::Whole(bytes) => {
-                self.held = Some(Held::Whole(bytes.clone()));
+        match self.body.take()? {
+            BufferedBody::Complete(bytes) => {
+                self.body = Some(BufferedBody::Complete(bytes.clone()));
                 let body = Full::new(bytes).map_err(|never| match never {});
                 Some(body.boxed_unsync())
             }
-            Held::Begun(bytes, rest) => {
-                let first = futures::stream::iter([Ok(Frame::data(bytes))]);
-                let rest =
-                    http_body_util::BodyStream::new(rest).map(|frame| frame.map_err(Into::into));
-                Some(StreamBody::new(first.chain(rest)).boxed_unsync())
+            BufferedBody::Partial(bytes, remaining) => {
+                let start = futures::stream::iter([Ok(Frame::data(bytes))]);
+                let remaining = http_body_util::BodyStream::new(remaining)
+                    .map(|frame| frame.map_err(Into::into));
+                Some(StreamBody::new(start.chain(remaining)).boxed_unsync())
             }
         }
     }
 }
 
-impl Drop for Reserved {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.left.fetch_add(self.bytes, Ordering::AcqRel);
+        self.available.fetch_add(self.bytes, Ordering::AcqRel);
     }
 }
--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -1,4 +1,5 @@
-//! The ports for callers: requests, look-ups, and whether the VM takes callers.
+//! The ports for callers, on which the node serves requests and look-ups and
+//! reports whether it is ready.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -15,33 +16,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::answer::{self, Body};
+use super::responses::{self, Body};
 use super::{Node, request};
 use crate::logfmt;
 use crate::sync::lock;
 
-/// Callers' connections at a time. Each costs a few kilobytes, and a VM has
-/// some thousand descriptors.
+/// Largest number of open connections of callers. Each takes a few kilobytes of
+/// memory, and a VM has a few thousand file descriptors.
 const MAX_CONNECTIONS: usize = 2_000;
 
-/// Time for the head of a question to the system itself.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time in which the head of a look-up or readiness request must arrive.
+const LOOKUP_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time beyond the idle timeout for which a connection is kept, because the
-/// next request may be on its way.
-const IDLE_MARGIN: Duration = Duration::from_secs(2);
+/// A connection is kept open this much longer than the idle timeout, since the
+/// caller's next request may already be under way.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
 
-/// Largest head of a request in bytes before a configuration is known.
-const MAX_HEAD: usize = 64 * 1024;
+/// Upper bound in bytes for the head of a request, whatever limit is configured.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// How long callers keep the answer to a look-up, unless users ask for less.
-/// Some keep it for three times as long, and a stopping VM waits for them.
+/// Time to live of the response to a look-up, unless the settings have a
+/// shorter one. Some callers keep the response for three times as long, which a
+/// stopping VM takes into account.
 pub(super) const LOOKUP_TTL: Duration = Duration::from_secs(1);
 
-/// Pause after a connection could not be accepted, for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a connection could not be accepted, for example because no file
+/// descriptor was free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts callers' connections until `stop` resolves.
+/// Accepts callers' connections until `stop` resolves. The connections are shut
+/// down gracefully once `close` is true.
 pub(super) async fn serve_requests(
     node: &Arc<Node>,
     listener: TcpListener,
@@ -59,7 +63,7 @@
             Ok((stream, _)) => accept(node, stream, close.clone()),
             Err(error) => {
                 log::warn!("event=accept_failed error={}", logfmt::value(&error));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -67,7 +71,8 @@
 
 fn accept(node: &Arc<Node>, stream: TcpStream, close: watch::Receiver<bool>) {
     if node.caller_connections.count() >= MAX_CONNECTIONS {
-        // Closed unread, so that the caller knows that nothing ran.
+        // Closed before anything is read, so that the caller can tell that its
+        // request has not run.
         log::warn!(
             "event=connection_refused open={}",
             node.caller_connections.count()
@@ -77,10 +82,10 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=nodelay_failed error={}", logfmt::value(&error));
     }
-    let running = node.caller_connections.begin();
+    let open = node.caller_connections.begin();
     let node = Arc::clone(node);
     tokio::spawn(async move {
-        let _running = running;
+        let _open = open;
         serve_connection(node, stream, close).await;
     });
 }
@@ -92,70 +97,74 @@
         .as_ref()
         .map(|d| d.limits)
         .unwrap_or_default();
-    let handler = service_fn(move |req| answer(Arc::clone(&node), req));
+    let handler = service_fn(move |req| handle_request(Arc::clone(&node), req));
     let mut server = pin!(
         http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle_timeout + IDLE_MARGIN)
-            .max_buf_size(limits.head_bytes.clamp(8 * 1024, MAX_HEAD))
+            .header_read_timeout(limits.idle_timeout + IDLE_TIMEOUT_MARGIN)
+            .max_buf_size(limits.head_bytes.clamp(8 * 1024, MAX_HEAD_BYTES))
             .serve_connection(TokioIo::new(stream), handler)
     );
     tokio::select! {
-        // How a connection ended concerns nobody but its caller.
+        // Errors of a connection concern only its caller.
         _ = &mut server => return,
         _ = close.wait_for(|close| *close) => server.as_mut().graceful_shutdown(),
     }
     let _ = server.await;
 }
 
-async fn answer(node: Arc<Node>, req: Request<Incoming>) -> Result<Response<Body>, Infallible> {
-    let mut answer = request::serve(&node, req).await;
+async fn handle_request(
+    node: Arc<Node>,
+    req: Request<Incoming>,
+) -> Result<Response<Body>, Infallible> {
+    let mut response = request::serve(&node, req).await;
     if node.is_leaving() {
-        // The caller opens its next connection to another VM.
+        // Makes the caller open its next connection to another VM.
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Answers look-ups and the platform's questions.
-pub(super) async fn serve_questions(node: Arc<Node>, listener: TcpListener) {
+/// Serves look-ups of callers, and the platform's requests for the readiness of
+/// this VM.
+pub(super) async fn serve_lookups(node: Arc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let node = Arc::clone(&node);
                 tokio::spawn(async move {
                     let handler = service_fn(move |req| {
-                        let answer = answer_question(&node, &req);
-                        async move { Ok::<_, Infallible>(answer) }
+                        let response = handle_system_request(&node, &req);
+                        async move { Ok::<_, Infallible>(response) }
                     });
-                    // How a connection ended concerns nobody but its caller.
+                    // Errors of a connection concern only its caller.
                     let _ = http1::Builder::new()
                         .timer(TokioTimer::new())
-                        .header_read_timeout(QUESTION_TIMEOUT)
+                        .header_read_timeout(LOOKUP_HEAD_TIMEOUT)
                         .serve_connection(TokioIo::new(stream), handler)
                         .await;
                 });
             }
             Err(error) => {
                 log::warn!("event=accept_failed error={}", logfmt::value(&error));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn answer_question(node: &Node, req: &Request<Incoming>) -> Response<Body> {
+fn handle_system_request(node: &Node, req: &Request<Incoming>) -> Response<Body> {
     let now = Instant::now();
     match SystemRequest::read(req.method(), req.uri()) {
         Some(SystemRequest::Lookup(region)) => {
             let ready = node.is_ready(now);
             let vms = lock(&node.members).lookup_addresses(region.as_ref(), ready, now);
             let ttl = LOOKUP_TTL.min(node.settings.load().bounds.lookup_ttl);
-            answer::json(StatusCode::OK, lookup::response_body(&vms, ttl))
+            responses::json(StatusCode::OK, lookup::response_body(&vms, ttl))
         }
-        Some(SystemRequest::Ready) if node.is_ready(now) => answer::empty(StatusCode::OK),
-        Some(SystemRequest::Ready) => answer::empty(StatusCode::SERVICE_UNAVAILABLE),
-        None => answer::empty(StatusCode::NOT_FOUND),
+        Some(SystemRequest::Ready) if node.is_ready(now) => responses::empty(StatusCode::OK),
+        Some(SystemRequest::Ready) => responses::empty(StatusCode::SERVICE_UNAVAILABLE),
+        None => responses::empty(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/filbertgrade/src/process/node/dump.rs
+++ b/crates/filbertgrade/src/process/node/dump.rs
@@ -40,7 +40,7 @@
     metrics::gauge!("requests_running").set(node.running_requests.count() as f64);
     metrics::gauge!("caller_connections").set(node.caller_connections.count() as f64);
     metrics::gauge!("vms_running").set(lock(&node.members).running(now).len() as f64);
-    metrics::gauge!("body_bytes_free").set(node.body_budget.left() as f64);
+    metrics::gauge!("body_bytes_free").set(node.body_budget.available() as f64);
 }
 
 fn dump_node(node: &Node) -> Value {
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Datagrams between VMs: who runs, and what teams ask for.
+//! Heartbeats and other datagrams between VMs: which VMs run, the arrivals of
+//! teams, and the affinities of objects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,147 +16,161 @@
 use crate::logfmt;
 use crate::sync::lock;
 use crate::wire::peer::{
-    Datagram, DatagramBody, Received, ReceivedHeartbeat, WireDemand, WireDemands, WireHeartbeat,
-    WireHome, WireRegion,
+    Datagram, DatagramBody, Received, ReceivedHeartbeat, WireAffinity, WireDemand, WireDemands,
+    WireHeartbeat, WireRegionSummary,
 };
 
-/// Time between two heartbeats. A VM counts as down after several of them.
-const INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two heartbeats. A VM is considered down after several of them
+/// are missing.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shortest time between two heartbeats, when there are new homes.
-const NEWS_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between two heartbeats while affinity updates are pending.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long after its start a node asks others for the homes that they know.
-const ASK_TIME: Duration = Duration::from_secs(2);
+/// How long after its start a node requests all affinities from other VMs.
+const AFFINITY_REQUEST_PERIOD: Duration = Duration::from_secs(2);
 
-/// Homes in one heartbeat.
-const MOST_HOMES: usize = 40;
+/// Largest number of affinities in one heartbeat.
+const MAX_AFFINITIES_PER_HEARTBEAT: usize = 40;
 
-/// Longest datagram that passes common links in one piece.
-const MOST_BYTES: usize = 1_400;
+/// Longest datagram that common links transmit without fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Sends heartbeats until the process ends, sooner when there are new homes.
+/// Sends heartbeats and region summaries until the process ends. A heartbeat is
+/// sent early when affinity updates are pending.
 pub(super) async fn send(node: Arc<Node>, socket: Arc<UdpSocket>) {
-    let mut next = Instant::now();
-    // Apart from the other heartbeats, which news of homes bring forward.
-    let mut next_of_region = next;
+    let mut next_heartbeat = Instant::now();
+    // Has its own schedule, since pending affinity updates make heartbeats more
+    // frequent.
+    let mut next_region_summary = next_heartbeat;
     loop {
         let now = Instant::now();
-        if now >= next_of_region {
-            send_region(&node, &socket).await;
-            next_of_region = now + INTERVAL;
+        if now >= next_region_summary {
+            send_region_summary(&node, &socket).await;
+            next_region_summary = now + HEARTBEAT_INTERVAL;
         }
-        let newcomers = lock(&node.members).take_new_members();
-        if now >= next || lock(&node.balancer).affinities().has_pending_updates() {
-            send_once(&node, &socket, Reach::Region).await;
-            next = now + INTERVAL;
-        } else if !newcomers.is_empty() {
-            let bytes = encode(&node, now);
-            let is_new = |member: &Member| newcomers.contains(&member.peer_address);
+        let new_members = lock(&node.members).take_new_members();
+        if now >= next_heartbeat || lock(&node.balancer).affinities().has_pending_updates() {
+            send_once(&node, &socket, BroadcastScope::Region).await;
+            next_heartbeat = now + HEARTBEAT_INTERVAL;
+        } else if !new_members.is_empty() {
+            let bytes = encode_heartbeat(&node, now);
+            let is_new = |member: &Member| new_members.contains(&member.peer_address);
             send_to(&node, &socket, &bytes, is_new).await;
         }
-        tokio::time::sleep(NEWS_INTERVAL).await;
+        tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Which VMs a heartbeat goes to.
+/// The VMs to which a heartbeat is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
-    /// Those of the own region, so that heartbeats do not grow with the square
-    /// of the fleet.
+pub(super) enum BroadcastScope {
+    /// The VMs of this region. Used for periodic heartbeats, whose number would
+    /// otherwise grow with the square of the number of VMs in all regions.
     Region,
-    /// All, when a VM stops.
+    /// The VMs of all regions. Used when this VM stops.
     Fleet,
 }
 
 /// Sends one heartbeat.
-pub(super) async fn send_once(node: &Node, socket: &UdpSocket, reach: Reach) {
-    let bytes = encode(node, Instant::now());
+pub(super) async fn send_once(node: &Node, socket: &UdpSocket, scope: BroadcastScope) {
+    let bytes = encode_heartbeat(node, Instant::now());
     let region = node.settings.load().region.clone();
-    let reached = |member: &Member| reach == Reach::Fleet || member.region == region;
-    send_to(node, socket, &bytes, reached).await;
+    let is_in_scope = |member: &Member| scope == BroadcastScope::Fleet || member.region == region;
+    send_to(node, socket, &bytes, is_in_scope).await;
 }
 
-/// Speaks for the region to all others, if this node is its relay.
-async fn send_region(node: &Node, socket: &UdpSocket) {
+/// Sends a summary of this region to the VMs of all other regions, if this node
+/// is the relay of its region.
+async fn send_region_summary(node: &Node, socket: &UdpSocket) {
     let now = Instant::now();
     if lock(&node.members).relay(now).is_some() {
         return;
     }
-    let bytes = encode_region(node, now);
+    let bytes = encode_region_summary(node, now);
     let region = node.settings.load().region.clone();
     send_to(node, socket, &bytes, |member| member.region != region).await;
 }
 
-async fn send_to(node: &Node, socket: &UdpSocket, bytes: &[u8], reached: impl Fn(&Member) -> bool) {
+async fn send_to(
+    node: &Node,
+    socket: &UdpSocket,
+    bytes: &[u8],
+    is_recipient: impl Fn(&Member) -> bool,
+) {
     let peers: Vec<SocketAddr> = lock(&node.members)
         .peers()
-        .filter(|member| reached(member))
+        .filter(|member| is_recipient(member))
         .map(|member| member.peer_address)
         .collect();
     for peer in peers {
         if let Err(error) = socket.send_to(bytes, peer).await {
-            // The next heartbeat follows soon.
+            // Not retried, since the next heartbeat follows soon.
             let error = logfmt::value(&error);
             log::debug!("event=heartbeat_not_sent peer={peer} error={error}");
         }
     }
 }
 
-fn datagram(heartbeat: WireHeartbeat) -> Vec<u8> {
+fn encode_datagram(heartbeat: WireHeartbeat) -> Vec<u8> {
     Datagram::from(DatagramBody::Heartbeat(heartbeat)).encode_to_vec()
 }
 
-fn header(node: &Node, now: Instant) -> WireHeartbeat {
+/// Returns a heartbeat with the fields that every datagram of this type has,
+/// under a new number.
+fn base_heartbeat(node: &Node, now: Instant) -> WireHeartbeat {
     let heartbeat = node.heartbeat(now);
-    let steady = lock(&node.store_health).available_for(node.started, now);
+    let uptime = lock(&node.store_health).available_for(node.started, now);
     WireHeartbeat {
         vm: node.settings.load().vm.as_str().to_owned(),
         incarnation: heartbeat.incarnation,
         number: node.next_heartbeat.fetch_add(1, Ordering::Relaxed),
         ready: heartbeat.ready,
         leaving: heartbeat.leaving,
-        store_steady_ms: u64::try_from(steady.as_millis()).unwrap_or(u64::MAX),
+        store_uptime_ms: u64::try_from(uptime.as_millis()).unwrap_or(u64::MAX),
         ..WireHeartbeat::default()
     }
 }
 
-fn encode(node: &Node, now: Instant) -> Vec<u8> {
+/// Encodes a heartbeat with this VM's demand and the pending affinity updates,
+/// which are pending no longer afterwards.
+fn encode_heartbeat(node: &Node, now: Instant) -> Vec<u8> {
     let demand = lock(&node.quotas).demand(now);
-    let homes = lock(&node.balancer)
+    let affinities = lock(&node.balancer)
         .affinities()
-        .take_pending_updates(MOST_HOMES);
+        .take_pending_updates(MAX_AFFINITIES_PER_HEARTBEAT);
     let mut wire = WireHeartbeat {
-        homes: homes.into_iter().map(WireHome::from).collect(),
-        wants_homes: now.saturating_duration_since(node.started) < ASK_TIME,
+        affinities: affinities.into_iter().map(WireAffinity::from).collect(),
+        wants_affinities: now.saturating_duration_since(node.started) < AFFINITY_REQUEST_PERIOD,
         demand: Some(wire_demand(demand)),
-        ..header(node, now)
+        ..base_heartbeat(node, now)
     };
-    fit(&mut wire);
-    datagram(wire)
+    truncate_demand(&mut wire);
+    encode_datagram(wire)
 }
 
-fn encode_region(node: &Node, now: Instant) -> Vec<u8> {
-    let state = lock(&node.members).region_summary(node.is_ready(now), now);
+fn encode_region_summary(node: &Node, now: Instant) -> Vec<u8> {
+    let summary = lock(&node.members).region_summary(node.is_ready(now), now);
     let names = |wanted: bool| {
-        let named = state.iter().filter(|(_, ready)| *ready == wanted);
-        named.map(|(vm, _)| vm.as_str().to_owned()).collect()
+        let selected = summary.iter().filter(|(_, ready)| *ready == wanted);
+        selected.map(|(vm, _)| vm.as_str().to_owned()).collect()
     };
     let demand = lock(&node.quotas).region_demand(now);
     let mut wire = WireHeartbeat {
-        region: Some(WireRegion {
+        region_summary: Some(WireRegionSummary {
             region: node.settings.load().region.as_str().to_owned(),
             ready: names(true),
             not_ready: names(false),
         }),
         demand: Some(wire_demand(demand)),
-        ..header(node, now)
+        ..base_heartbeat(node, now)
     };
-    fit(&mut wire);
-    datagram(wire)
+    truncate_demand(&mut wire);
+    encode_datagram(wire)
 }
 
-/// The teams with most requests go first, in case not all fit.
+/// Sorts teams by descending rate, so that [`truncate_demand`] removes those
+/// with the fewest requests.
 fn wire_demand(mut demand: Vec<(TeamName, f64)>) -> WireDemands {
     demand.sort_by(|a, b| b.1.total_cmp(&a.1));
     let teams = demand.into_iter().map(|(team, rate)| WireDemand {
@@ -167,8 +182,10 @@
     }
 }
 
-fn fit(wire: &mut WireHeartbeat) {
-    while wire.encoded_len() > MOST_BYTES {
+/// Removes teams from the end of the demand until the heartbeat is at most
+/// [`MAX_DATAGRAM_BYTES`] long or no team is left.
+fn truncate_demand(wire: &mut WireHeartbeat) {
+    while wire.encoded_len() > MAX_DATAGRAM_BYTES {
         let teams = wire.demand.as_mut().map(|demand| &mut demand.teams);
         if teams.and_then(Vec::pop).is_none() {
             return;
@@ -176,29 +193,29 @@
     }
 }
 
-/// Takes datagrams of other VMs until the process ends.
+/// Receives and handles datagrams of other VMs until the process ends.
 pub(super) async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
-    let mut buf = [0_u8; 2 * MOST_BYTES];
+    let mut buf = [0_u8; 2 * MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(error) => {
                 log::debug!("event=heartbeat_not_read error={}", logfmt::value(&error));
-                tokio::time::sleep(INTERVAL).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                 continue;
             }
         };
         match Received::decode(&buf[..len]) {
             Ok(Received::Heartbeat(heartbeat)) => {
-                let asker = take(&node, heartbeat);
-                if let Some(asker) = asker {
-                    tell_homes(&node, &socket, &asker).await;
+                let requester = apply_heartbeat(&node, heartbeat);
+                if let Some(requester) = requester {
+                    send_affinities(&node, &socket, &requester).await;
                 }
             }
-            Ok(Received::Question(question)) => {
-                tokens::answer(&node, &socket, from, &question).await;
+            Ok(Received::TokenRequest(request)) => {
+                tokens::respond(&node, &socket, from, &request).await;
             }
-            Ok(Received::Answer(answer)) => node.token_requests.answered(&answer),
+            Ok(Received::TokenResponse(response)) => node.token_requests.complete(&response),
             Err(error) => {
                 let error = logfmt::value(&error);
                 log::warn!("event=heartbeat_malformed bytes={len} error={error}");
@@ -207,8 +224,9 @@
     }
 }
 
-/// Sends a node that has just started all homes.
-async fn tell_homes(node: &Node, socket: &UdpSocket, vm: &VmName) {
+/// Sends all known affinities to a VM that has requested them, in as many
+/// datagrams as needed.
+async fn send_affinities(node: &Node, socket: &UdpSocket, vm: &VmName) {
     let address = lock(&node.members)
         .peers()
         .find(|member| member.vm == *vm)
@@ -217,13 +235,13 @@
         return;
     };
     let now = Instant::now();
-    let homes = lock(&node.balancer).affinities().snapshot(now);
-    for part in homes.chunks(MOST_HOMES) {
+    let affinities = lock(&node.balancer).affinities().snapshot(now);
+    for chunk in affinities.chunks(MAX_AFFINITIES_PER_HEARTBEAT) {
         let wire = WireHeartbeat {
-            homes: part.iter().copied().map(WireHome::from).collect(),
-            ..header(node, now)
+            affinities: chunk.iter().copied().map(WireAffinity::from).collect(),
+            ..base_heartbeat(node, now)
         };
-        if let Err(error) = socket.send_to(&datagram(wire), address).await {
+        if let Err(error) = socket.send_to(&encode_datagram(wire), address).await {
             log::debug!(
                 "event=homes_not_sent peer={address} error={}",
                 logfmt::value(&error)
@@ -232,22 +250,23 @@
     }
 }
 
-/// Takes a heartbeat. Returns its sender when this node is the one to tell it
-/// all homes.
-fn take(node: &Node, received: ReceivedHeartbeat) -> Option<VmName> {
+/// Applies a heartbeat or region summary. Returns the sender if it requests all
+/// affinities and this node is the one to send them: rendezvous hashing selects
+/// one of the running VMs, so that they are not sent by all of them.
+fn apply_heartbeat(node: &Node, received: ReceivedHeartbeat) -> Option<VmName> {
     let now = Instant::now();
     let ReceivedHeartbeat {
         vm,
         heartbeat,
         demand,
-        homes,
-        wants_homes,
-        store_steady,
-        region,
+        affinities,
+        wants_affinities,
+        store_uptime,
+        region_summary,
     } = received;
-    if let Some(state) = region {
-        lock(&node.members).record_region_summary(&state.region, &state.running, now);
-        lock(&node.quotas).record_region_demand(state.region, demand.unwrap_or_default(), now);
+    if let Some(summary) = region_summary {
+        lock(&node.members).record_region_summary(&summary.region, &summary.running, now);
+        lock(&node.quotas).record_region_demand(summary.region, demand.unwrap_or_default(), now);
         return None;
     }
     if lock(&node.members).record_heartbeat(&vm, heartbeat, now) {
@@ -257,14 +276,14 @@
             heartbeat.leaving,
         );
     }
-    store::record_peer_store_uptime(node, store_steady, now);
-    lock(&node.balancer).apply_affinities(homes, now);
-    let mut asker = None;
-    if wants_homes {
+    store::record_peer_store_uptime(node, store_uptime, now);
+    lock(&node.balancer).apply_affinities(affinities, now);
+    let mut requester = None;
+    if wants_affinities {
         let running = lock(&node.members).running(now);
         let others = running.iter().filter(|name| **name != vm);
         if rendezvous::owner(vm.as_str(), others) == Some(&node.settings.load().vm) {
-            asker = Some(vm.clone());
+            requester = Some(vm.clone());
         }
     }
     if heartbeat.leaving {
@@ -272,5 +291,5 @@
     } else if let Some(demand) = demand {
         lock(&node.quotas).record_peer_demand(vm, demand, now);
     }
-    asker
+    requester
 }
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -5,7 +5,6 @@
 //! [`filbertgrade_coord::steering`]; the platform's names and formats are in
 //! [`filbertgrade_platform`].
 
-mod answer;
 mod attempt;
 mod body;
 mod callers;
@@ -14,6 +13,7 @@
 mod heartbeat;
 mod relay;
 mod request;
+mod responses;
 mod stop;
 mod store;
 mod suspension;
@@ -43,7 +43,7 @@
 use self::body::BodyBudget;
 use self::copy::StoreCopy;
 use self::suspension::SuspensionDetector;
-use self::tokens::TokenQuestions;
+use self::tokens::PendingTokenRequests;
 use crate::connection::{Pool, PoolLimits};
 use crate::logfmt;
 use crate::process::operator;
@@ -131,7 +131,7 @@
     pub(crate) balancer: Mutex<Balancer>,
     pub(crate) quotas: Mutex<Quotas>,
     /// Token requests to other VMs.
-    token_requests: TokenQuestions,
+    token_requests: PendingTokenRequests,
     pub(crate) members: Mutex<Members>,
     pub(crate) store_health: Mutex<StoreHealth>,
     pub(crate) suspension: Mutex<SuspensionDetector>,
@@ -175,7 +175,7 @@
             has_read_endpoints: AtomicBool::new(false),
             balancer: Mutex::new(Balancer::new(balancer_config(&settings))),
             quotas: Mutex::new(new_quotas(&settings)),
-            token_requests: TokenQuestions::new(peers),
+            token_requests: PendingTokenRequests::new(peers),
             members: Mutex::new(Members::new(own_member(&settings, incarnation))),
             store_health: Mutex::default(),
             suspension: Mutex::new(SuspensionDetector::new()),
@@ -315,8 +315,8 @@
     let node = Arc::new(Node::new(settings, Arc::clone(&peers)));
     log_start(&node);
     tokio::spawn(dump::operator_port(&node).serve(operators));
-    tokio::spawn(callers::serve_questions(Arc::clone(&node), lookups));
-    tokio::spawn(callers::serve_questions(Arc::clone(&node), ready));
+    tokio::spawn(callers::serve_lookups(Arc::clone(&node), lookups));
+    tokio::spawn(callers::serve_lookups(Arc::clone(&node), ready));
     tokio::spawn(heartbeat::receive(Arc::clone(&node), Arc::clone(&peers)));
     tokio::spawn(heartbeat::send(Arc::clone(&node), Arc::clone(&peers)));
     tokio::spawn(relay::serve_pulls(Arc::clone(&node), relay));
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -1,4 +1,5 @@
-//! One caller's request: route, key, limit, place, send, answer.
+//! Handling of one request of a caller: its route, API key, and rate limit, the
+//! choice of an endpoint, attempts, and the response.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,9 +18,9 @@
 use hyper::body::Incoming;
 
 use super::Node;
-use super::answer::{self, Body};
-use super::attempt::{self, Reply};
-use super::body::{BodyFault, Upload};
+use super::attempt::{self, AttemptResult};
+use super::body::{BodyError, Upload};
+use super::responses::{self, Body};
 use super::tokens;
 use crate::logfmt;
 use crate::request::{
@@ -27,19 +28,18 @@
 };
 use crate::sync::lock;
 
-/// Time for a request whose caller tells no deadline on a route without a
-/// timeout.
-const DEFAULT_TIME: Duration = Duration::from_secs(30);
+/// Time limit of a request if neither the caller nor the route sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time beyond a route's timeout in which an answer that is already on its way
-/// is still passed on.
+/// How long after a route's timeout a response that is already under way is
+/// still passed on.
 const TIMEOUT_GRACE: Duration = Duration::from_millis(100);
 
-/// When a caller that was refused for want of a current configuration should
-/// try another VM.
-const ELSEWHERE_AFTER: Duration = Duration::from_millis(100);
+/// Retry delay for a caller that this VM refuses for a reason of its own, such
+/// as an outdated configuration. Another VM may be able to serve it.
+const OTHER_VM_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A request that has a route and may run.
+/// A request that has been routed and, unless its route is public, authenticated.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) parts: Parts,
@@ -47,40 +47,46 @@
     pub(super) route: Arc<Route>,
     pub(super) team: Option<Arc<Team>>,
     pub(super) service: ServiceName,
-    /// Hash of the object that it concerns, or a random number.
+    /// Hash of the object that the request refers to, or a random number if the
+    /// caller named none.
     pub(super) object: u64,
     /// The caller named an object.
     has_object: bool,
     pub(super) arrived: Instant,
-    /// Length of the body that the caller announced.
+    /// Length of the body that the caller announced; 0 if it announced none.
     body_bytes: u64,
-    /// Until when an answer is of use.
+    /// When a response is no longer useful: the end of the time that the caller
+    /// allows, or of the route's timeout and [`TIMEOUT_GRACE`] if that is earlier.
     pub(super) deadline: Instant,
+    /// Version of the configuration by which the request was routed.
     version: u64,
 }
 
-/// A refusal with the time after which the caller may come back.
+/// A refusal, and the time after which the caller may try again if it is told
+/// one.
 #[derive(Debug)]
 struct Refused {
     refusal: Refusal,
     retry_after: Option<Duration>,
 }
 
-/// What was done for a request so far.
+/// Progress of a request over its attempts.
 #[derive(Debug, Default)]
 struct Progress {
+    /// Endpoints of all attempts, in order.
     tried: Vec<EndpointKey>,
-    /// An attempt may have run.
+    /// An attempt that failed may have run on its endpoint.
     may_have_run: bool,
-    /// An endpoint's own failure, which is passed on when nothing better comes.
-    failed: Option<Response<Body>>,
+    /// The last server error of an endpoint. It is passed on if no other attempt
+    /// succeeds.
+    server_error: Option<Response<Body>>,
     last_target: Option<Target>,
 }
 
 /// What to do after an attempt.
 enum Step {
-    Answer(Response<Body>),
-    Again,
+    Respond(Response<Body>),
+    Retry,
     GiveUp(Refused),
 }
 
@@ -92,10 +98,10 @@
         }
     }
 
-    fn come_back(cause: Cause, after: Duration) -> Self {
+    fn retry_later(cause: Cause, retry_after: Duration) -> Self {
         Self {
             refusal: Refusal::not_run(cause),
-            retry_after: Some(after),
+            retry_after: Some(retry_after),
         }
     }
 
@@ -108,13 +114,13 @@
 }
 
 impl Call {
-    /// The caller's id, for log lines.
+    /// Id of the request in log lines, as the caller chose it.
     pub(super) fn id(&self) -> logfmt::Value<&str> {
         id_of(&self.head)
     }
 
-    fn ask<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> PickRequest<'a> {
-        let team_homes = self
+    fn pick_request<'a>(&'a self, tried: &'a [EndpointKey], now: Instant) -> PickRequest<'a> {
+        let team_regions = self
             .team
             .as_ref()
             .map_or(&[][..], |team| &team.home_regions);
@@ -123,7 +129,7 @@
             object: self.object,
             sticky: self.route.sticky && self.has_object,
             idempotent: self.route.kind.is_idempotent(),
-            allowed_regions: [&self.route.home_regions, team_homes],
+            allowed_regions: [&self.route.home_regions, team_regions],
             tried,
             priority: self.priority(),
             target_latency: self.route.target_latency,
@@ -132,6 +138,7 @@
         }
     }
 
+    /// Priority of the team if it has one, else that of the route.
     fn priority(&self) -> u32 {
         let team = self.team.as_ref().and_then(|team| team.priority);
         team.unwrap_or(self.route.priority)
@@ -143,24 +150,24 @@
     logfmt::value(id.unwrap_or("none"))
 }
 
-/// Serves one request.
+/// Handles a request of a caller and returns the response to it.
 pub(super) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let _running = node.running_requests.begin();
     let arrived = Instant::now();
     let (parts, body) = req.into_parts();
     let head = RequestHead::from(&parts.headers);
     node.wait_for_first_read().await;
-    let call = match decide(node, parts, head.clone(), arrived) {
+    let call = match route_request(node, parts, head.clone(), arrived) {
         Ok(call) => call,
         Err(refused) => return refuse(&head, &refused, arrived, "route=none"),
     };
     let mut progress = Progress::default();
-    let result = carry(node, &call, body, &mut progress).await;
-    report(&call, &progress, result)
+    let result = forward(node, &call, body, &mut progress).await;
+    finish(&call, &progress, result)
 }
 
-/// Whether the request may run, and where to.
-fn decide(
+/// Finds the route, team, and service of a request, or refuses it.
+fn route_request(
     node: &Node,
     mut parts: Parts,
     head: RequestHead,
@@ -169,19 +176,19 @@
     let deployment = node
         .deployment
         .load_full()
-        .ok_or_else(|| Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER))?;
+        .ok_or_else(|| Refused::retry_later(Cause::Isolated, OTHER_VM_RETRY_DELAY))?;
     let route = find_route(node, &deployment, &parts, arrived)?;
     let team = find_team(node, &deployment, &route, &head, arrived)?;
-    let limit = route.timeout.unwrap_or(DEFAULT_TIME) + TIMEOUT_GRACE;
-    let time = head.time_left.map_or(limit, |left| left.min(limit));
-    let spread = head
+    let timeout = route.timeout.unwrap_or(DEFAULT_TIMEOUT) + TIMEOUT_GRACE;
+    let time_left = head.time_left.map_or(timeout, |left| left.min(timeout));
+    let split_hash = head
         .object
         .as_ref()
         .map(|object| object_hash(route.name.as_str(), object.as_bytes()));
-    let has_object = spread.is_some();
-    let spread = spread.unwrap_or_else(rand::random);
-    let service = route.select_service(spread).service.clone();
-    let object = head.object.as_ref().map_or(spread, |object| {
+    let has_object = split_hash.is_some();
+    let split_hash = split_hash.unwrap_or_else(rand::random);
+    let service = route.select_service(split_hash).service.clone();
+    let object = head.object.as_ref().map_or(split_hash, |object| {
         object_hash(service.as_str(), object.as_bytes())
     });
     remove_hop_by_hop(&mut parts.headers);
@@ -191,7 +198,7 @@
         has_object,
         object,
         service,
-        deadline: arrived + time,
+        deadline: arrived + time_left,
         arrived,
         version: deployment.version,
         parts,
@@ -223,10 +230,12 @@
         .unwrap_or("");
     match deployment.routes.find(host, parts.uri.path()) {
         Some(route) => Ok(Arc::clone(route)),
-        None => Err(unless_stale(node, Cause::UnknownRoute, now)),
+        None => Err(refuse_unknown(node, Cause::UnknownRoute, now)),
     }
 }
 
+/// Finds the team of a request by its API key. A key is not required on a public
+/// route, nor while the configuration has no teams.
 fn find_team(
     node: &Node,
     deployment: &Deployment,
@@ -239,36 +248,41 @@
         return Ok(team.cloned());
     }
     if !node.has_current_configuration(now) {
-        return Err(Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER));
+        return Err(Refused::retry_later(Cause::Isolated, OTHER_VM_RETRY_DELAY));
     }
     match (team, &head.key) {
         (Some(team), _) => Ok(Some(Arc::clone(team))),
-        (None, Some(_)) => Err(unless_stale(node, Cause::KeyRefused, now)),
+        (None, Some(_)) => Err(refuse_unknown(node, Cause::KeyRefused, now)),
         (None, None) => Err(Refused::not_run(Cause::KeyMissing)),
     }
 }
 
-/// A VM whose configuration may be old cannot tell that something is unknown.
-fn unless_stale(node: &Node, cause: Cause, now: Instant) -> Refused {
+/// Returns the refusal of a route or key that is not in the configuration. If the
+/// configuration may be outdated, the cause is [`Cause::Isolated`] instead, since
+/// the route or key may exist in a newer version.
+fn refuse_unknown(node: &Node, cause: Cause, now: Instant) -> Refused {
     if node.has_current_configuration(now) {
         Refused::not_run(cause)
     } else {
-        Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER)
+        Refused::retry_later(Cause::Isolated, OTHER_VM_RETRY_DELAY)
     }
 }
 
+/// Applies the rate limit of the request's team, if it has a team.
 async fn admit(node: &Node, call: &Call) -> Result<(), Refused> {
     let Some(team) = &call.team else {
         return Ok(());
     };
-    let after = match tokens::admit(node, &team.name, call.id(), call.arrived).await {
+    let retry_after = match tokens::admit(node, &team.name, call.id(), call.arrived).await {
         Ok(()) => return Ok(()),
-        Err(after) => after,
+        Err(retry_after) => retry_after,
     };
-    Err(Refused::come_back(Cause::OverRate, after))
+    Err(Refused::retry_later(Cause::OverRate, retry_after))
 }
 
-async fn carry(
+/// Forwards a request to endpoints until one of them responds or no further
+/// attempt is possible. At most one hedged attempt is started for a request.
+async fn forward(
     node: &Arc<Node>,
     call: &Call,
     body: Incoming,
@@ -278,25 +292,27 @@
     lock(&node.balancer).count_request(&call.service, call.priority(), call.arrived);
     let mut upload = read_body(node, call, body).await?;
     let mut running = FuturesUnordered::new();
-    let (target, body) = place(node, call, &mut upload, progress)?;
-    let mut second_at = second_at(call, &target);
+    let (target, body) = pick_endpoint(node, call, &mut upload, progress)?;
+    let mut hedge_at = hedge_at(call, &target);
     running.push(attempt::run(node, call, target, body));
     loop {
         tokio::select! {
-            Some(reply) = running.next() => {
-                match after(node, call, &upload, progress, reply) {
-                    Step::Answer(answer) => return Ok(answer),
-                    Step::GiveUp(_) | Step::Again if !running.is_empty() => {}
+            Some(result) = running.next() => {
+                match handle_result(node, call, &upload, progress, result) {
+                    Step::Respond(response) => return Ok(response),
+                    // The other attempt may still succeed.
+                    Step::GiveUp(_) | Step::Retry if !running.is_empty() => {}
                     Step::GiveUp(refused) => return give_up(progress, refused),
-                    Step::Again => match place(node, call, &mut upload, progress) {
+                    Step::Retry => match pick_endpoint(node, call, &mut upload, progress) {
                         Ok((target, body)) => running.push(attempt::run(node, call, target, body)),
                         Err(refused) => return give_up(progress, refused),
                     },
                 }
             }
-            () = tokio::time::sleep_until(second_at.into()), if running.len() == 1 => {
-                second_at = call.deadline + DEFAULT_TIME;
-                if let Some((target, body)) = second(node, call, &mut upload, progress) {
+            () = tokio::time::sleep_until(hedge_at.into()), if running.len() == 1 => {
+                // Later than any attempt can last, so that no other is started.
+                hedge_at = call.deadline + DEFAULT_TIMEOUT;
+                if let Some((target, body)) = hedge(node, call, &mut upload, progress) {
                     running.push(attempt::run(node, call, target, body));
                 }
             }
@@ -305,52 +321,57 @@
 }
 
 async fn read_body(node: &Node, call: &Call, body: Incoming) -> Result<Upload, Refused> {
-    let most = node
+    let max_bytes = node
         .deployment
         .load()
         .as_ref()
         .map_or(u64::MAX, |deployment| deployment.limits.body_bytes);
-    let read = node.body_budget.read(body, most);
+    let read = node.body_budget.read(body, max_bytes);
     match tokio::time::timeout_at(call.deadline.into(), read).await {
         Ok(Ok(upload)) => Ok(upload),
-        Ok(Err(BodyFault::TooLarge)) => Err(Refused::not_run(Cause::BodyTooLarge)),
-        Ok(Err(BodyFault::NoMemory)) => Err(Refused::come_back(Cause::Busy, ELSEWHERE_AFTER)),
-        Ok(Err(BodyFault::Cut)) => Err(Refused::not_run(Cause::BadRequest)),
+        Ok(Err(BodyError::TooLarge)) => Err(Refused::not_run(Cause::BodyTooLarge)),
+        Ok(Err(BodyError::NoMemory)) => {
+            Err(Refused::retry_later(Cause::Busy, OTHER_VM_RETRY_DELAY))
+        }
+        Ok(Err(BodyError::Truncated)) => Err(Refused::not_run(Cause::BadRequest)),
         Err(_) => Err(Refused::not_run(Cause::SlowBody)),
     }
 }
 
-/// Picks an endpoint for the next attempt, or says why there is none.
-fn place(
+/// Picks an endpoint for the next attempt and records it in `progress`. Refuses
+/// the request if there is none, or if the request may not run any more.
+fn pick_endpoint(
     node: &Node,
     call: &Call,
     upload: &mut Upload,
     progress: &mut Progress,
 ) -> Result<(Target, crate::connection::RequestBody), Refused> {
     let now = Instant::now();
-    if !is_allowed(node, call, now) {
-        return Err(Refused::come_back(Cause::Isolated, ELSEWHERE_AFTER));
+    if !is_key_valid(node, call, now) {
+        return Err(Refused::retry_later(Cause::Isolated, OTHER_VM_RETRY_DELAY));
     }
     let body = upload
         .take()
         .ok_or_else(|| Refused::unknown(Cause::BackendFailed))?;
-    match lock(&node.balancer).pick(&call.ask(&progress.tried, now), now) {
+    match lock(&node.balancer).pick(&call.pick_request(&progress.tried, now), now) {
         Pick::Send(target) => {
             progress.tried.push(target.key.clone());
             progress.last_target = Some(target.clone());
             Ok((target, body))
         }
-        Pick::Refuse(PickRefusal::NoEndpoint) => Err(Refused::come_back(
+        Pick::Refuse(PickRefusal::NoEndpoint) => Err(Refused::retry_later(
             Cause::NoEndpoint,
             Duration::from_millis(500),
         )),
-        Pick::Refuse(PickRefusal::Busy(after)) => Err(Refused::come_back(Cause::Busy, after)),
+        Pick::Refuse(PickRefusal::Busy(retry_after)) => {
+            Err(Refused::retry_later(Cause::Busy, retry_after))
+        }
     }
 }
 
-/// The key of a request still works. It may have been withdrawn while the
-/// request waited.
-fn is_allowed(node: &Node, call: &Call, now: Instant) -> bool {
+/// Whether the API key of a request is still accepted. It may have been withdrawn
+/// while the request was waiting.
+fn is_key_valid(node: &Node, call: &Call, now: Instant) -> bool {
     if call.team.is_none() || call.route.public {
         return true;
     }
@@ -362,16 +383,20 @@
     known && node.has_current_configuration(now)
 }
 
-fn second_at(call: &Call, target: &Target) -> Instant {
+/// When to start a hedged attempt if the first one has not finished. Never, that
+/// is after the deadline, for a request that must not run twice.
+fn hedge_at(call: &Call, target: &Target) -> Instant {
     if call.route.kind.is_idempotent() {
         Instant::now() + hedge_delay(target.expected_latency, call.route.target_latency)
     } else {
-        call.deadline + DEFAULT_TIME
+        call.deadline + DEFAULT_TIMEOUT
     }
 }
 
-/// A second attempt beside one that takes longer than expected.
-fn second(
+/// Prepares a second attempt beside one that takes longer than expected. `None`
+/// if the limit of attempts, the body, the retry budget, or the lack of another
+/// endpoint does not permit it.
+fn hedge(
     node: &Node,
     call: &Call,
     upload: &mut Upload,
@@ -384,32 +409,43 @@
     if !lock(&node.balancer).try_take_retry(&call.service, Instant::now()) {
         return None;
     }
-    let placed = place(node, call, upload, progress).ok()?;
+    let picked = pick_endpoint(node, call, upload, progress).ok()?;
     log::info!(
         "event=second_attempt id={} endpoint={} after_ms={}",
         call.id(),
-        logfmt::value(&placed.0.key),
+        logfmt::value(&picked.0.key),
         call.arrived.elapsed().as_millis(),
     );
-    Some(placed)
+    Some(picked)
 }
 
-/// What follows from the end of an attempt.
-fn after(node: &Node, call: &Call, upload: &Upload, progress: &mut Progress, reply: Reply) -> Step {
-    let (failure, state) = match reply {
-        Reply::Answer(answer) => return Step::Answer(answer),
-        Reply::Failed(answer) if !call.route.kind.is_idempotent() => return Step::Answer(answer),
-        Reply::Failed(answer) => {
-            progress.failed = Some(answer);
+/// Decides what to do after an attempt has ended.
+///
+/// A server error of an idempotent request is treated like a lost connection, so
+/// that the request may be repeated on another endpoint.
+fn handle_result(
+    node: &Node,
+    call: &Call,
+    upload: &Upload,
+    progress: &mut Progress,
+    result: AttemptResult,
+) -> Step {
+    let (failure, state) = match result {
+        AttemptResult::Response(response) => return Step::Respond(response),
+        AttemptResult::ServerError(response) if !call.route.kind.is_idempotent() => {
+            return Step::Respond(response);
+        }
+        AttemptResult::ServerError(response) => {
+            progress.server_error = Some(response);
             (
                 Failure::ConnectionLost { reused: false },
                 AttemptState::FullySent,
             )
         }
-        Reply::NoAnswer { failure, state } => (failure, state),
+        AttemptResult::Failed { failure, state } => (failure, state),
     };
     let now = Instant::now();
-    let mut situation = RetryContext {
+    let mut context = RetryContext {
         state,
         idempotent: call.route.kind.is_idempotent(),
         replayable: upload.is_replayable(),
@@ -421,32 +457,34 @@
         now,
     };
     progress.may_have_run |= request::may_have_run(failure, state);
-    let mut step = request::next_step(failure, &situation);
-    // Attempts that reached no endpoint add nothing to a service's load.
-    let reached = state > AttemptState::NotSent;
+    let mut step = request::next_step(failure, &context);
+    // An attempt that sent nothing adds no load to the service, so that its
+    // repetition does not use the retry budget.
+    let was_sent = state > AttemptState::NotSent;
     if matches!(step, NextStep::Retry { .. })
-        && reached
+        && was_sent
         && !lock(&node.balancer).try_take_retry(&call.service, now)
     {
-        situation.budget_available = false;
-        situation.replayable = false;
-        step = request::next_step(failure, &situation);
+        context.budget_available = false;
+        context.replayable = false;
+        step = request::next_step(failure, &context);
     }
     match step {
-        NextStep::Retry { .. } => Step::Again,
+        NextStep::Retry { .. } => Step::Retry,
         NextStep::RefuseNotRun(cause) => {
-            Step::GiveUp(Refused::come_back(cause, Duration::from_millis(300)))
+            Step::GiveUp(Refused::retry_later(cause, Duration::from_millis(300)))
         }
         NextStep::RefuseUnknown(cause) => Step::GiveUp(Refused::unknown(cause)),
         NextStep::AbortResponse => Step::GiveUp(Refused::unknown(Cause::BackendFailed)),
     }
 }
 
-/// The end of a request without an answer, unless an endpoint's own failure
-/// can be passed on.
+/// Ends a request without a successful attempt: with the server error of an
+/// endpoint if there was one, else with the refusal. The refusal must not say that
+/// the request has not run if an earlier attempt may have run.
 fn give_up(progress: &mut Progress, mut refused: Refused) -> Result<Response<Body>, Refused> {
-    if let Some(answer) = progress.failed.take() {
-        return Ok(answer);
+    if let Some(response) = progress.server_error.take() {
+        return Ok(response);
     }
     if progress.may_have_run && refused.refusal.is_not_run() {
         refused = Refused::unknown(Cause::BackendFailed);
@@ -454,7 +492,9 @@
     Err(refused)
 }
 
-fn report(
+/// Logs the end of a request, counts it in the metrics, and returns the response
+/// to the caller.
+fn finish(
     call: &Call,
     progress: &Progress,
     result: Result<Response<Body>, Refused>,
@@ -473,11 +513,11 @@
             .as_ref()
             .map_or("none", |t| t.region.as_str()),
     );
-    let answer = match result {
-        Ok(answer) => answer,
+    let response = match result {
+        Ok(response) => response,
         Err(refused) => return refuse(&call.head, &refused, call.arrived, &context),
     };
-    let (load, slots, repeat, rank, expected) =
+    let (load, slots, object_cached, rank, expected_ms) =
         progress
             .last_target
             .as_ref()
@@ -491,16 +531,18 @@
                 )
             });
     log::info!(
-        "event=answered id={} {context} status={} ms={ms} expected_ms={expected} load={load:.1} slots={slots} repeat={repeat} rank={rank} object={:x}",
+        "event=answered id={} {context} status={} ms={ms} expected_ms={expected_ms} load={load:.1} slots={slots} repeat={object_cached} rank={rank} object={:x}",
         call.id(),
-        answer.status().as_u16(),
+        response.status().as_u16(),
         call.object,
     );
     metrics::counter!("requests_total", "outcome" => "answered").increment(1);
     metrics::histogram!("request_seconds").record(call.arrived.elapsed().as_secs_f64());
-    answer
+    response
 }
 
+/// Logs a refusal, counts it in the metrics, and returns the response to the
+/// caller. `context` has further log keys.
 fn refuse(
     head: &RequestHead,
     refused: &Refused,
@@ -508,16 +550,16 @@
     context: &str,
 ) -> Response<Body> {
     let refusal = &refused.refusal;
-    let answer = answer::refuse(refusal, head.id.as_ref(), refused.retry_after);
+    let response = responses::refuse(refusal, head.id.as_ref(), refused.retry_after);
     log::info!(
         "event=refused id={} {context} cause={} outcome={} status={} ms={} retry_after_ms={}",
         id_of(head),
         refusal.cause(),
         refusal.outcome().as_str(),
-        answer.status().as_u16(),
+        response.status().as_u16(),
         arrived.elapsed().as_millis(),
         refused.retry_after.map_or(0, |t| t.as_millis()),
     );
     metrics::counter!("requests_total", "outcome" => refusal.cause().as_str()).increment(1);
-    answer
+    response
 }
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::callers::{self, LOOKUP_TTL};
-use super::heartbeat::Reach;
+use super::heartbeat::BroadcastScope;
 use super::{Node, heartbeat, read_settings, store};
 use crate::logfmt;
 use crate::sync::lock;
@@ -65,7 +65,7 @@
     );
     node.leaving.send_replace(true);
     lock(&node.quotas).mark_leaving();
-    heartbeat::send_once(node, peers, Reach::Fleet).await;
+    heartbeat::send_once(node, peers, BroadcastScope::Fleet).await;
     tokio::spawn(store::delist(Arc::clone(node)));
 }
 
--- a/crates/filbertgrade/src/process/node/tokens.rs
+++ b/crates/filbertgrade/src/process/node/tokens.rs
@@ -1,4 +1,5 @@
-//! Questions between VMs about teams' limits.
+//! Token requests and responses between VMs, which enforce the rate limits of
+//! teams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,100 +16,106 @@
 use super::Node;
 use crate::logfmt;
 use crate::sync::lock;
-use crate::wire::peer::{Datagram, DatagramBody, TokenAnswer, TokenQuestion};
+use crate::wire::peer::{Datagram, DatagramBody, WireTokenRequest, WireTokenResponse};
 
-/// Time for an answer. VMs of a region are about a millisecond apart; a small
-/// VM that is busy answers later.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+/// How long a requester waits for the response of a holder. VMs of a region are
+/// about a millisecond apart, but a small VM that is busy responds later.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Questions that wait for an answer.
+/// Token requests of this VM that have no response yet.
 #[derive(Debug)]
-pub(super) struct TokenQuestions {
+pub(super) struct PendingTokenRequests {
     socket: Arc<UdpSocket>,
-    next_number: AtomicU64,
-    waiting: Mutex<HashMap<u64, oneshot::Sender<Grant>>>,
+    next_id: AtomicU64,
+    /// By the id of the request.
+    pending: Mutex<HashMap<u64, oneshot::Sender<Grant>>>,
 }
 
-/// Removes a question when its asker does not wait any more.
-struct Waiting<'a> {
-    questions: &'a TokenQuestions,
-    number: u64,
+/// Removes a pending request when the requester stops waiting for its response.
+struct PendingGuard<'a> {
+    requests: &'a PendingTokenRequests,
+    id: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        lock(&self.questions.waiting).remove(&self.number);
+        lock(&self.requests.pending).remove(&self.id);
     }
 }
 
-impl TokenQuestions {
+impl PendingTokenRequests {
     pub(super) fn new(socket: Arc<UdpSocket>) -> Self {
         Self {
             socket,
-            next_number: AtomicU64::new(rand::random()),
-            waiting: Mutex::default(),
+            next_id: AtomicU64::new(rand::random()),
+            pending: Mutex::default(),
         }
     }
 
-    /// Takes an answer. One that comes too late changes nothing.
-    pub(super) fn answered(&self, answer: &TokenAnswer) {
-        if let Some(tx) = lock(&self.waiting).remove(&answer.number) {
-            // The asker may have given up in the meantime.
-            let _ = tx.send(Grant::from(answer));
+    /// Passes a response to the requester. A response that arrives after the
+    /// timeout is ignored.
+    pub(super) fn complete(&self, response: &WireTokenResponse) {
+        if let Some(tx) = lock(&self.pending).remove(&response.request_id) {
+            // Fails if the requester has stopped waiting in the meantime.
+            let _ = tx.send(Grant::from(response));
         }
     }
 
-    /// Asks a VM; `None` when it does not answer in time.
-    async fn ask(&self, address: SocketAddr, request: &TokenRequest) -> Option<Grant> {
-        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+    /// Sends a token request to the holder at the address and waits for its
+    /// response. Returns `None` if it cannot be sent or times out.
+    async fn send(&self, address: SocketAddr, request: &TokenRequest) -> Option<Grant> {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
-        lock(&self.waiting).insert(number, tx);
-        let _waiting = Waiting {
-            questions: self,
-            number,
-        };
-        let question = Datagram::from(DatagramBody::Question(TokenQuestion {
-            number,
+        lock(&self.pending).insert(id, tx);
+        let _guard = PendingGuard { requests: self, id };
+        let datagram = Datagram::from(DatagramBody::TokenRequest(WireTokenRequest {
+            request_id: id,
             team: request.team.as_str().to_owned(),
             tokens: request.tokens,
             arrivals: request.arrivals,
         }));
         if let Err(error) = self
             .socket
-            .send_to(&question.encode_to_vec(), address)
+            .send_to(&datagram.encode_to_vec(), address)
             .await
         {
             let error = logfmt::value(&error);
             log::debug!("event=tokens_not_asked peer={address} error={error}");
             return None;
         }
-        match tokio::time::timeout(ANSWER_TIME, rx).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, rx).await {
             Ok(Ok(grant)) => Some(grant),
             Ok(Err(_)) | Err(_) => None,
         }
     }
 }
 
-/// Admits a request of a team, or tells when a token may be there.
+/// Admits a request of a team within the team's rate limit, for which it
+/// requests tokens from other VMs if necessary.
+///
+/// # Errors
+///
+/// Returns the time until a token may be available if the request exceeds the
+/// limit.
 pub(super) async fn admit(
     node: &Node,
     team: &TeamName,
     id: logfmt::Value<&str>,
     arrived: Instant,
 ) -> Result<(), Duration> {
-    let mut step = lock(&node.quotas).admit(team, arrived);
+    let mut admission = lock(&node.quotas).admit(team, arrived);
     loop {
-        let request = match step {
+        let request = match admission {
             Admission::Admitted => return Ok(()),
-            Admission::Refused(after) => return Err(after),
+            Admission::Refused(retry_after) => return Err(retry_after),
             Admission::RequestTokens(request) => request,
         };
-        let grant = match address(node, &request.holder) {
-            Some(address) => node.token_requests.ask(address, &request).await,
+        let grant = match peer_address(node, &request.holder) {
+            Some(address) => node.token_requests.send(address, &request).await,
             None => None,
         };
         let now = Instant::now();
-        step = match grant {
+        admission = match grant {
             Some(grant) => lock(&node.quotas).handle_response(request, grant, now),
             None => {
                 let holder = &request.holder;
@@ -120,24 +127,24 @@
     }
 }
 
-fn address(node: &Node, vm: &VmName) -> Option<SocketAddr> {
+fn peer_address(node: &Node, vm: &VmName) -> Option<SocketAddr> {
     lock(&node.members)
         .peers()
         .find(|member| member.vm == *vm)
         .map(|member| member.peer_address)
 }
 
-/// Answers a question of another VM.
-pub(super) async fn answer(
+/// Responds to a token request of another VM.
+pub(super) async fn respond(
     node: &Node,
     socket: &UdpSocket,
     from: SocketAddr,
-    question: &TokenQuestion,
+    request: &WireTokenRequest,
 ) {
-    let grant = match TeamName::try_from(question.team.as_str()) {
+    let grant = match TeamName::try_from(request.team.as_str()) {
         Ok(team) => {
             let now = Instant::now();
-            lock(&node.quotas).grant(&team, question.tokens, question.arrivals, now)
+            lock(&node.quotas).grant(&team, request.tokens, request.arrivals, now)
         }
         Err(error) => {
             let error = logfmt::value(&error);
@@ -145,10 +152,10 @@
             return;
         }
     };
-    let answer = DatagramBody::Answer(TokenAnswer::new(question.number, grant));
-    let bytes = Datagram::from(answer).encode_to_vec();
+    let response = DatagramBody::TokenResponse(WireTokenResponse::new(request.request_id, grant));
+    let bytes = Datagram::from(response).encode_to_vec();
     if let Err(error) = socket.send_to(&bytes, from).await {
-        // The asker goes on without an answer.
+        // The requester times out and continues without this holder.
         let error = logfmt::value(&error);
         log::debug!("event=tokens_answer_not_sent peer={from} error={error}");
     }
--- a/crates/filbertgrade/src/wire/peer.rs
+++ b/crates/filbertgrade/src/wire/peer.rs
@@ -1,4 +1,5 @@
-//! Datagrams between VMs.
+//! Format of the datagrams between VMs: heartbeats, token requests, and token
+//! responses.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,7 +10,7 @@
 use filbertgrade_coord::steering::quota::Grant;
 use prost::Message;
 
-/// One datagram.
+/// A datagram as it is encoded.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Datagram {
     #[prost(oneof = "DatagramBody", tags = "1, 2, 3")]
@@ -22,9 +23,9 @@
     #[prost(message, tag = "1")]
     Heartbeat(WireHeartbeat),
     #[prost(message, tag = "2")]
-    Question(TokenQuestion),
+    TokenRequest(WireTokenRequest),
     #[prost(message, tag = "3")]
-    Answer(TokenAnswer),
+    TokenResponse(WireTokenResponse),
 }
 
 impl From<DatagramBody> for Datagram {
@@ -33,124 +34,129 @@
     }
 }
 
-/// A datagram that was received.
+/// A received datagram whose names have been checked.
 #[derive(Debug)]
 pub(crate) enum Received {
     Heartbeat(ReceivedHeartbeat),
-    Question(TokenQuestion),
-    Answer(TokenAnswer),
+    TokenRequest(WireTokenRequest),
+    TokenResponse(WireTokenResponse),
 }
 
-/// Why a datagram cannot be read.
+/// Why a datagram cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DatagramError {
-    /// The bytes are not a datagram of this format.
+    /// The bytes are not a valid encoding of a datagram.
     #[error("malformed datagram: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A name in it is not valid.
+    /// A name in the datagram is invalid.
     #[error("invalid name: {0}")]
     Name(#[from] NameError),
-    /// It holds nothing that this version knows.
+    /// The datagram has no content that this version of the program knows.
     #[error("empty datagram")]
     Empty,
 }
 
 impl Received {
-    /// Decodes a datagram and checks what is in it.
+    /// Decodes a datagram and checks the names in it. The team of a token request
+    /// is left to the receiver to check.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         match Datagram::decode(bytes)?.body.ok_or(DatagramError::Empty)? {
             DatagramBody::Heartbeat(wire) => Ok(Self::Heartbeat(wire.try_into()?)),
-            DatagramBody::Question(question) => Ok(Self::Question(question)),
-            DatagramBody::Answer(answer) => Ok(Self::Answer(answer)),
+            DatagramBody::TokenRequest(request) => Ok(Self::TokenRequest(request)),
+            DatagramBody::TokenResponse(response) => Ok(Self::TokenResponse(response)),
         }
     }
 }
 
-/// A heartbeat.
+/// A heartbeat, which says that the sender runs and in which state it is.
+///
+/// The same message sends region summaries to other regions, and all known
+/// affinities to a VM that has just started.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireHeartbeat {
     #[prost(string, tag = "1")]
     pub(crate) vm: String,
     #[prost(fixed64, tag = "2")]
     pub(crate) incarnation: u64,
-    /// Grows with each heartbeat of an incarnation.
+    /// Increases with each datagram of this type that the incarnation sends.
     #[prost(uint64, tag = "3")]
     pub(crate) number: u64,
     #[prost(bool, tag = "4")]
     pub(crate) ready: bool,
     #[prost(bool, tag = "5")]
     pub(crate) leaving: bool,
-    /// Absent when the datagram only tells homes.
+    /// Absent when the datagram serves only to send affinities.
     #[prost(message, optional, tag = "6")]
     pub(crate) demand: Option<WireDemands>,
     #[prost(message, repeated, tag = "7")]
-    pub(crate) homes: Vec<WireHome>,
-    /// The sender has just started and knows no homes.
+    pub(crate) affinities: Vec<WireAffinity>,
+    /// The sender has just started and requests the affinities of all objects.
     #[prost(bool, tag = "8")]
-    pub(crate) wants_homes: bool,
-    /// How long the store has answered the sender without an outage.
+    pub(crate) wants_affinities: bool,
+    /// How long the store has been available to the sender without an outage.
     #[prost(uint64, tag = "9")]
-    pub(crate) store_steady_ms: u64,
-    /// Set when the datagram speaks for all VMs of the sender's region.
+    pub(crate) store_uptime_ms: u64,
+    /// Present when the datagram is a summary of the sender's region for the
+    /// other regions. `demand` is then that of the whole region.
     #[prost(message, optional, tag = "10")]
-    pub(crate) region: Option<WireRegion>,
+    pub(crate) region_summary: Option<WireRegionSummary>,
 }
 
-/// The VMs of a region that run.
+/// The running VMs of a region.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct WireRegion {
+pub(crate) struct WireRegionSummary {
     #[prost(string, tag = "1")]
     pub(crate) region: String,
     #[prost(string, repeated, tag = "2")]
     pub(crate) ready: Vec<String>,
-    /// Those that run and cannot serve callers.
+    /// VMs that run but cannot serve callers at present.
     #[prost(string, repeated, tag = "3")]
     pub(crate) not_ready: Vec<String>,
 }
 
-/// Where an object is handled.
+/// The endpoint that handles an object; see [`Affinity`].
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(crate) struct WireHome {
+pub(crate) struct WireAffinity {
     #[prost(fixed64, tag = "1")]
     pub(crate) object: u64,
     #[prost(fixed64, tag = "2")]
     pub(crate) endpoint: u64,
     #[prost(uint64, tag = "3")]
-    pub(crate) change: u64,
+    pub(crate) version: u64,
     #[prost(bool, tag = "4")]
     pub(crate) confirmed: bool,
 }
 
-impl From<Affinity> for WireHome {
-    fn from(home: Affinity) -> Self {
+impl From<Affinity> for WireAffinity {
+    fn from(affinity: Affinity) -> Self {
         Self {
-            object: home.object,
-            endpoint: home.endpoint,
-            change: home.version,
-            confirmed: home.confirmed,
+            object: affinity.object,
+            endpoint: affinity.endpoint,
+            version: affinity.version,
+            confirmed: affinity.confirmed,
         }
     }
 }
 
-impl From<WireHome> for Affinity {
-    fn from(wire: WireHome) -> Self {
+impl From<WireAffinity> for Affinity {
+    fn from(wire: WireAffinity) -> Self {
         Self {
             object: wire.object,
             endpoint: wire.endpoint,
-            version: wire.change,
+            version: wire.version,
             confirmed: wire.confirmed,
         }
     }
 }
 
-/// Arrivals that the sender counts.
+/// Arrivals by team.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireDemands {
     #[prost(message, repeated, tag = "1")]
     pub(crate) teams: Vec<WireDemand>,
 }
 
-/// Arrivals of one team.
+/// Arrivals of a team.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireDemand {
     #[prost(string, tag = "1")]
@@ -160,30 +166,30 @@
     pub(crate) rate: f32,
 }
 
-/// A heartbeat that was received.
+/// A received [`WireHeartbeat`] whose names have been checked.
 #[derive(Debug)]
 pub(crate) struct ReceivedHeartbeat {
     pub(crate) vm: VmName,
     pub(crate) heartbeat: Heartbeat,
-    /// Requests a second that the sender counts, if it told them.
+    /// Arrivals by team in requests a second; `None` if the sender reported none.
     pub(crate) demand: Option<HashMap<TeamName, f64>>,
-    pub(crate) homes: Vec<Affinity>,
-    pub(crate) wants_homes: bool,
-    pub(crate) store_steady: Duration,
-    pub(crate) region: Option<RegionState>,
+    pub(crate) affinities: Vec<Affinity>,
+    pub(crate) wants_affinities: bool,
+    pub(crate) store_uptime: Duration,
+    pub(crate) region_summary: Option<RegionSummary>,
 }
 
-/// The VMs of a region that run, and whether they are ready.
+/// The running VMs of a region, and whether each is ready.
 #[derive(Debug)]
-pub(crate) struct RegionState {
+pub(crate) struct RegionSummary {
     pub(crate) region: RegionName,
     pub(crate) running: HashMap<VmName, bool>,
 }
 
-impl TryFrom<WireRegion> for RegionState {
+impl TryFrom<WireRegionSummary> for RegionSummary {
     type Error = NameError;
 
-    fn try_from(wire: WireRegion) -> Result<Self, NameError> {
+    fn try_from(wire: WireRegionSummary) -> Result<Self, NameError> {
         let mut running = HashMap::new();
         for (names, ready) in [(&wire.ready, true), (&wire.not_ready, false)] {
             for name in names {
@@ -208,16 +214,20 @@
                 ready: wire.ready,
                 leaving: wire.leaving,
             },
-            demand: wire.demand.map(demand).transpose()?,
-            homes: wire.homes.into_iter().map(Affinity::from).collect(),
-            wants_homes: wire.wants_homes,
-            store_steady: Duration::from_millis(wire.store_steady_ms),
-            region: wire.region.map(RegionState::try_from).transpose()?,
+            demand: wire.demand.map(decode_demand).transpose()?,
+            affinities: wire.affinities.into_iter().map(Affinity::from).collect(),
+            wants_affinities: wire.wants_affinities,
+            store_uptime: Duration::from_millis(wire.store_uptime_ms),
+            region_summary: wire
+                .region_summary
+                .map(RegionSummary::try_from)
+                .transpose()?,
         })
     }
 }
 
-fn demand(wire: WireDemands) -> Result<HashMap<TeamName, f64>, NameError> {
+/// Decodes arrivals by team, without rates that are not finite numbers.
+fn decode_demand(wire: WireDemands) -> Result<HashMap<TeamName, f64>, NameError> {
     let mut demand = HashMap::new();
     for entry in wire.teams {
         let rate = f64::from(entry.rate);
@@ -228,48 +238,49 @@
     Ok(demand)
 }
 
-/// Asks a holder of a team's limit for tokens.
+/// Requests tokens of a team's rate limit from a holder.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct TokenQuestion {
-    /// Number that the asking VM chose; the answer repeats it.
+pub(crate) struct WireTokenRequest {
+    /// Chosen by the requester; the response repeats it.
     #[prost(fixed64, tag = "1")]
-    pub(crate) number: u64,
+    pub(crate) request_id: u64,
     #[prost(string, tag = "2")]
     pub(crate) team: String,
-    /// Tokens that are wanted.
+    /// Number of tokens that are wanted.
     #[prost(uint32, tag = "3")]
     pub(crate) tokens: u32,
-    /// Requests that arrived and that no holder has counted.
+    /// Arrivals of the team that the requester has not reported to a holder.
     #[prost(uint32, tag = "4")]
     pub(crate) arrivals: u32,
 }
 
-/// Answer to a [`TokenQuestion`].
+/// Response to a [`WireTokenRequest`].
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(crate) struct TokenAnswer {
+pub(crate) struct WireTokenResponse {
+    /// Id of the request.
     #[prost(fixed64, tag = "1")]
-    pub(crate) number: u64,
-    /// The VM that was asked holds a part of the limit.
+    pub(crate) request_id: u64,
+    /// The responding VM is a holder of the team's limit.
     #[prost(bool, tag = "2")]
     pub(crate) is_holder: bool,
-    /// Tokens that are granted.
+    /// Number of tokens that are granted.
     #[prost(uint32, tag = "3")]
     pub(crate) tokens: u32,
-    /// When a token may be there, if none is granted.
+    /// Time until a token may be available, if none is granted.
     #[prost(uint64, tag = "4")]
     pub(crate) wait_ms: u64,
 }
 
-impl TokenAnswer {
-    /// The answer to question `number`.
-    pub(crate) fn new(number: u64, grant: Grant) -> Self {
+impl WireTokenResponse {
+    /// The response to the request with this id.
+    pub(crate) fn new(request_id: u64, grant: Grant) -> Self {
         let (is_holder, tokens, wait) = match grant {
             Grant::Tokens(tokens) => (true, tokens, Duration::ZERO),
             Grant::Empty(wait) => (true, 0, wait),
             Grant::NotHolder => (false, 0, Duration::ZERO),
         };
         Self {
-            number,
+            request_id,
             is_holder,
             tokens,
             wait_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
@@ -277,11 +288,11 @@
     }
 }
 
-impl From<&TokenAnswer> for Grant {
-    fn from(answer: &TokenAnswer) -> Self {
-        match (answer.is_holder, answer.tokens) {
+impl From<&WireTokenResponse> for Grant {
+    fn from(response: &WireTokenResponse) -> Self {
+        match (response.is_holder, response.tokens) {
             (false, _) => Self::NotHolder,
-            (true, 0) => Self::Empty(Duration::from_millis(answer.wait_ms)),
+            (true, 0) => Self::Empty(Duration::from_millis(response.wait_ms)),
             (true, tokens) => Self::Tokens(tokens),
         }
     }
