--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -42,8 +42,8 @@
 /// The result of an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptResult {
-    /// The endpoint ran the request. A server error is included only if its
-    /// body is streamed.
+    /// A response for the caller. This is a server error only if its body is
+    /// streamed.
     Response(Response<Body>),
     /// The endpoint ran the request and returned a server error, whose body has
     /// been buffered.
@@ -249,7 +249,7 @@
 }
 
 impl RunningAttempt {
-    /// Ends the attempt with a response of an endpoint that ran the request.
+    /// Ends the attempt with a response that is passed on.
     /// Returns whether it is a server error.
     fn end_with_response(
         &mut self,
@@ -301,7 +301,7 @@
     AttemptResult::Failed { failure, state }
 }
 
-/// Ends an attempt without a valid response.
+/// Ends an attempt that got no complete and valid response.
 fn no_response(
     attempt: &mut RunningAttempt,
     call: &Call,
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -62,8 +62,8 @@
     version: u64,
 }
 
-/// A refusal, and the time after which the caller may try again if it is told
-/// one.
+/// A refusal, and the delay after which the caller may try again, if it is to be
+/// told one.
 #[derive(Debug)]
 struct Refused {
     refusal: Refusal,
@@ -383,8 +383,9 @@
     known && node.has_current_configuration(now)
 }
 
-/// When to start a hedged attempt if the first one has not finished. Never, that
-/// is after the deadline, for a request that must not run twice.
+/// When to start a hedged attempt if the first one has not finished. For a
+/// request that must not run twice, this is after the deadline, so that none is
+/// started.
 fn hedge_at(call: &Call, target: &Target) -> Instant {
     if call.route.kind.is_idempotent() {
         Instant::now() + hedge_delay(target.expected_latency, call.route.target_latency)
@@ -393,9 +394,9 @@
     }
 }
 
-/// Prepares a second attempt beside one that takes longer than expected. `None`
-/// if the limit of attempts, the body, the retry budget, or the lack of another
-/// endpoint does not permit it.
+/// Picks an endpoint for a second attempt beside one that takes longer than
+/// expected. Returns `None` if the attempts or the retry budget are used up, the
+/// body cannot be sent again, or no endpoint can be picked.
 fn hedge(
     node: &Node,
     call: &Call,
--- a/crates/filbertgrade/src/process/node/tokens.rs
+++ b/crates/filbertgrade/src/process/node/tokens.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct PendingTokenRequests {
     socket: Arc<UdpSocket>,
-    next_id: AtomicU64,
+    next_request_id: AtomicU64,
     /// By the id of the request.
     pending: Mutex<HashMap<u64, oneshot::Sender<Grant>>>,
 }
@@ -34,12 +34,12 @@
 /// Removes a pending request when the requester stops waiting for its response.
 struct PendingGuard<'a> {
     requests: &'a PendingTokenRequests,
-    id: u64,
+    request_id: u64,
 }
 
 impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        lock(&self.requests.pending).remove(&self.id);
+        lock(&self.requests.pending).remove(&self.request_id);
     }
 }
 
@@ -47,7 +47,7 @@
     pub(super) fn new(socket: Arc<UdpSocket>) -> Self {
         Self {
             socket,
-            next_id: AtomicU64::new(rand::random()),
+            next_request_id: AtomicU64::new(rand::random()),
             pending: Mutex::default(),
         }
     }
@@ -64,12 +64,15 @@
     /// Sends a token request to the holder at the address and waits for its
     /// response. Returns `None` if it cannot be sent or times out.
     async fn send(&self, address: SocketAddr, request: &TokenRequest) -> Option<Grant> {
-        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let request_id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = oneshot::channel();
-        lock(&self.pending).insert(id, tx);
-        let _guard = PendingGuard { requests: self, id };
+        lock(&self.pending).insert(request_id, tx);
+        let _guard = PendingGuard {
+            requests: self,
+            request_id,
+        };
         let datagram = Datagram::from(DatagramBody::TokenRequest(WireTokenRequest {
-            request_id: id,
+            request_id,
             team: request.team.as_str().to_owned(),
             tokens: request.tokens,
             arrivals: request.arrivals,
