--- a/crates/filbertgrade/src/connection/link.rs
+++ b/crates/filbertgrade/src/connection/link.rs
@@ -40,12 +40,12 @@
         address: SocketAddr,
     },
     /// No reply arrived within the timeout.
-    #[error("no reply from {address} within {} ms", within.as_millis())]
+    #[error("no reply from {address} within {} ms", timeout.as_millis())]
     TimedOut {
         /// Address of the peer.
         address: SocketAddr,
         /// The timeout of the call.
-        within: Duration,
+        timeout: Duration,
     },
 }
 
@@ -94,22 +94,22 @@
         }
     }
 
-    /// Sends `body` and waits for its reply, at most for `within`.
+    /// Sends `body` and waits for its reply, at most for `timeout`.
     ///
     /// # Errors
     ///
     /// Fails when the peer cannot be reached, closes the connection or sends no
     /// reply in time. After a timeout the connection is dropped, because a
     /// connection can stop delivering data for good while new ones work.
-    pub async fn call(&self, body: Body, within: Duration) -> Result<Body, LinkError> {
+    pub async fn call(&self, body: Body, timeout: Duration) -> Result<Body, LinkError> {
         let address = self.shared.address;
-        match tokio::time::timeout(within, self.call_unbounded(body)).await {
+        match tokio::time::timeout(timeout, self.call_unbounded(body)).await {
             Ok(reply) => reply,
             Err(_elapsed) => {
                 if let Ok(mut open) = self.shared.open.try_lock() {
                     *open = None;
                 }
-                Err(LinkError::TimedOut { address, within })
+                Err(LinkError::TimedOut { address, timeout })
             }
         }
     }
--- a/crates/filbertgrade/src/logfmt.rs
+++ b/crates/filbertgrade/src/logfmt.rs
@@ -1,14 +1,16 @@
-//! Values of log lines, which have the form `event=... key=value`.
+//! Formatting of the values in log lines, which have the form
+//! `event=... key=value`.
 
 use std::fmt;
 
-/// Formats a value for a log line: as it is when it has no character that
-/// would end or split it, otherwise in quotes with escapes.
+/// Formats a value for a log line. A value that contains a character that would
+/// end or split it, such as a space, is quoted and escaped; any other value is
+/// written unchanged.
 pub fn value<T: fmt::Display>(value: T) -> Value<T> {
     Value(value)
 }
 
-/// Return type of [`value`].
+/// A value that is escaped when it is displayed. Created by [`value`].
 #[derive(Clone, Copy, Debug)]
 pub struct Value<T>(T);
 
@@ -23,7 +25,7 @@
         for c in text.chars() {
             match c {
                 '"' | '\\' => write!(f, "\\{c}")?,
-                // One event is one line, whatever the value holds.
+                // A line break in the value must not split the log line.
                 c if c.is_control() || (c.is_whitespace() && c != ' ') => {
                     write!(f, "{}", c.escape_default())?;
                 }
@@ -34,7 +36,8 @@
     }
 }
 
-/// Formats values as one value of a log line, separated by commas.
+/// Formats a list as one value of a log line, separated by commas; `none` for
+/// an empty list.
 pub(crate) fn list<T: fmt::Display>(values: &[T]) -> Value<String> {
     let texts: Vec<String> = values.iter().map(T::to_string).collect();
     value(if texts.is_empty() {
