--- a/crates/filbertgrade/src/connection/backend.rs
+++ b/crates/filbertgrade/src/connection/backend.rs
@@ -295,7 +295,8 @@
 }
 
 /// Shuts down the sending side, and waits until the backend server closes its
-/// side, because it counts the connection against its limit until then.
+/// side. Until then the backend server counts the connection against its limit,
+/// so the pool must count it too.
 async fn close_gracefully(mut io: CountingIo<TcpStream>) {
     let closing = async {
         io.shutdown().await?;
--- a/crates/filbertgrade/src/connection/link.rs
+++ b/crates/filbertgrade/src/connection/link.rs
@@ -180,7 +180,7 @@
 ///
 /// `handler` receives the peer's address and the content of each frame. The
 /// body that it returns is sent back as the reply; for `None` nothing is sent.
-/// A connection with a corrupt frame is logged and closed.
+/// A connection is logged and closed when a frame is corrupt or reading fails.
 pub async fn serve_frames<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(SocketAddr, Body) -> F + Clone + Send + 'static,
@@ -200,6 +200,8 @@
     }
 }
 
+/// Handles the frames of one connection until it ends. Calls are handled
+/// concurrently, so replies may be sent in another order.
 async fn serve_connection<H, F>(stream: TcpStream, peer: SocketAddr, handler: H)
 where
     H: Fn(SocketAddr, Body) -> F + Clone + Send + 'static,
@@ -243,8 +245,8 @@
     }
 }
 
-/// Opens a TCP connection without delayed sending, from the address `local` if
-/// it is given.
+/// Opens a TCP connection with `TCP_NODELAY`, from the address `local` if it is
+/// given.
 pub(crate) async fn connect(
     address: SocketAddr,
     local: Option<IpAddr>,
@@ -261,6 +263,8 @@
     Ok(stream)
 }
 
+/// Starts the task that sends the frames of a link and dispatches the replies,
+/// until the connection ends.
 fn spawn_link(stream: TcpStream) -> OpenLink {
     let (mut sink, mut frames) = Framed::new(stream, FrameCodec).split();
     let (tx, mut rx) = mpsc::channel::<Frame>(SEND_QUEUE_FRAMES);
--- a/crates/filbertgrade/src/request/decision.rs
+++ b/crates/filbertgrade/src/request/decision.rs
@@ -68,7 +68,7 @@
 pub enum NextStep {
     /// Send the request again.
     Retry {
-        /// Another endpoint must be used, because this one failed.
+        /// Another endpoint must be used, because this one failed or refused.
         elsewhere: bool,
         /// The retry counts against the retry budget, because the failed
         /// attempt may already have used a backend server's capacity.
@@ -122,6 +122,7 @@
 }
 
 fn may_retry(failure: Failure, ran: bool, context: &RetryContext) -> bool {
+    // A passed deadline and a failed upload would end a new attempt as well.
     let final_failure = matches!(
         failure,
         Failure::DeadlinePassed | Failure::CallerSlow | Failure::CallerGone
@@ -135,13 +136,14 @@
 }
 
 impl Failure {
-    /// The backend server stated that it did not run the request.
+    /// Whether the backend server stated that it did not run the request.
     #[must_use]
     pub fn is_explicit_refusal(self) -> bool {
         matches!(self, Self::Shed | Self::Draining | Self::Misdirected)
     }
 
-    /// The endpoint itself failed, rather than one reused connection to it.
+    /// Whether the failure concerns the endpoint, and not only one reused
+    /// connection to it.
     fn is_endpoint_failure(self) -> bool {
         !matches!(
             self,
--- a/crates/filbertgrade/src/request/guard.rs
+++ b/crates/filbertgrade/src/request/guard.rs
@@ -277,6 +277,7 @@
         Ok(Some((revision, record)))
     }
 
+    /// Reads from the store whether this attempt can use the key.
     async fn claim_state(&self) -> Result<ClaimState, PlatformError> {
         let Some((revision, record)) = self.read().await? else {
             return Ok(ClaimState::Free(Condition::Absent));
--- a/crates/filbertgrade/src/request/upload.rs
+++ b/crates/filbertgrade/src/request/upload.rs
@@ -41,6 +41,7 @@
     source: Arc<Mutex<Source<B>>>,
 }
 
+/// The caller's body, shared by the attempts that read it.
 #[derive(Debug)]
 struct Source<B> {
     body: B,
@@ -225,7 +226,7 @@
         error
     }
 
-    /// Buffers `data`, or drops the whole buffer once the body is too large.
+    /// Buffers `data`, or drops the buffer for good once the body is too large.
     fn push_buffered(&mut self, data: &Bytes) {
         if !self.replayable {
             return;
