--- a/crates/filbertgrade-coord/examples/slot_turns.rs
+++ b/crates/filbertgrade-coord/examples/slot_turns.rs
@@ -1,4 +1,5 @@
-//! A large and a small team wait for the slots of one endpoint, and take turns.
+//! A team with many requests and one with a single request wait for the only
+//! slot of an endpoint, and are served in round-robin order.
 //!
 //! Run with `cargo run -p filbertgrade-coord --example slot_turns`.
 
@@ -12,8 +13,8 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     let now = Instant::now();
-    let mut book = SlotPool::new(1, SlotConfig::default());
-    book.set_endpoint(now, EndpointName::try_from("e1")?, 1, Temperature::Warm);
+    let mut pool = SlotPool::new(1, SlotConfig::default());
+    pool.set_endpoint(now, EndpointName::try_from("e1")?, 1, Temperature::Warm);
 
     let mut running = None;
     for team in ["large", "large", "large", "large", "small"] {
@@ -24,7 +25,7 @@
             deadline: now + Duration::from_secs(1),
             avoid: Vec::new(),
         };
-        match book.acquire(now, request) {
+        match pool.acquire(now, request) {
             AcquireOutcome::Granted(grant) => {
                 println!("{team}: granted {}", grant.endpoint);
                 running = Some(grant.permit);
@@ -34,9 +35,9 @@
         }
     }
     while let Some(permit) = running.take() {
-        for late in book.release(now, permit) {
-            println!("{}: granted {}", late.request.team, late.grant.endpoint);
-            running = Some(late.grant.permit);
+        for queued in pool.release(now, permit) {
+            println!("{}: granted {}", queued.request.team, queued.grant.endpoint);
+            running = Some(queued.grant.permit);
         }
     }
     Ok(())
--- a/crates/filbertgrade-coord/examples/two_vms.rs
+++ b/crates/filbertgrade-coord/examples/two_vms.rs
@@ -1,4 +1,5 @@
-//! Two VMs share a limit of 100 requests per second; all callers use one of them.
+//! Two VMs share a limit of 100 requests per second, and all callers use the
+//! same VM, which borrows from the other.
 //!
 //! Run with `cargo run -p filbertgrade-coord --example two_vms`.
 
@@ -17,7 +18,7 @@
     let mut admitted = 0;
     for millis in 0..6_000 {
         let now = start + Duration::from_millis(2_500 + millis);
-        // 90 requests per second arrive, and the own half allows 50.
+        // 90 requests per second arrive, of which the VM's own share admits 50.
         if millis % 11 == 0 && busy.admit(now) == Admission::Admitted {
             admitted += 1;
         }
@@ -30,12 +31,15 @@
         for action in busy.due_loan_actions(now) {
             match action {
                 LoanAction::Renew(renewal) => {
-                    let answer = idle.renew(now, &renewal);
-                    println!("{millis} ms: renewal {answer:?}");
-                    busy.apply_renewal_reply(now, &renewal, answer);
+                    let reply = idle.renew(now, &renewal);
+                    println!("{millis} ms: renewal {reply:?}");
+                    busy.apply_renewal_reply(now, &renewal, reply);
                 }
                 LoanAction::Return(returned) => {
-                    println!("{millis} ms: gave back {:.1} tokens", returned.tokens);
+                    println!(
+                        "{millis} ms: returned a loan with {:.1} tokens",
+                        returned.tokens
+                    );
                     idle.accept_return(now, &returned);
                 }
             }
--- a/crates/filbertgrade-coord/tests/allocation.rs
+++ b/crates/filbertgrade-coord/tests/allocation.rs
@@ -1,4 +1,5 @@
-//! Tests of the share table and the region weights.
+//! Tests of the steps by which the allocator changes the share table and the
+//! region weights.
 
 #![expect(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -21,19 +22,21 @@
         .collect()
 }
 
+/// The input of the allocator, and the table that it published last.
 struct Allocator {
     table: ShareTable,
-    since: Instant,
+    table_since: Instant,
     vms: BTreeMap<VmName, Presence>,
     acks: BTreeMap<VmName, u64>,
 }
 
 impl Allocator {
+    /// Runs one step and describes it; a published table becomes the current one.
     fn step(&mut self, now: Instant) -> String {
         let view = AllocatorView {
             token: FencingToken::new(1),
             table: &self.table,
-            table_since: self.since,
+            table_since: self.table_since,
             vms: &self.vms,
             acks: &self.acks,
         };
@@ -45,7 +48,7 @@
             },
             TableStep::Publish(table) => {
                 assert_eq!(table.version(), self.table.version() + 1);
-                (self.table, self.since) = (table, now);
+                (self.table, self.table_since) = (table, now);
                 let units = self.table.units().iter();
                 units
                     .map(|(vm, units)| format!("{vm}={units} "))
@@ -56,6 +59,7 @@
         }
     }
 
+    /// Acknowledges the current table for these VMs.
     fn ack(&mut self, names: &[&str]) {
         for name in names {
             self.acks
@@ -64,78 +68,86 @@
     }
 }
 
+/// An allocator with an empty table and two live VMs.
 fn allocator(start: Instant) -> Allocator {
     Allocator {
         table: ShareTable::default(),
-        since: start,
+        table_since: start,
         vms: vms(&[("a", Presence::Live), ("b", Presence::Live)]),
         acks: BTreeMap::new(),
     }
 }
 
-// Guards against units that are granted while another VM may still use them.
+// Guards against units that are granted to a joining VM while another VM may
+// still use them.
 #[test]
-fn a_joining_vm_gains_after_all_others_shrank() {
+fn units_of_a_joining_vm_wait_for_all_acknowledgements() {
     let now = Instant::now();
-    let mut all = allocator(now);
-    assert_eq!(all.step(now), "a=5000 b=5000");
-    assert_eq!(all.step(now), "done");
-    all.vms.extend(vms(&[("c", Presence::Live)]));
-    assert_eq!(all.step(now), "a=3334 b=3333");
-    all.ack(&["a"]);
-    assert_eq!(all.step(now), "wait for b");
-    all.ack(&["b"]);
-    assert_eq!(all.step(now), "a=3334 b=3333 c=3333");
+    let mut allocator = allocator(now);
+    assert_eq!(allocator.step(now), "a=5000 b=5000");
+    assert_eq!(allocator.step(now), "done");
+    allocator.vms.extend(vms(&[("c", Presence::Live)]));
+    assert_eq!(allocator.step(now), "a=3334 b=3333");
+    allocator.ack(&["a"]);
+    assert_eq!(allocator.step(now), "wait for b");
+    allocator.ack(&["b"]);
+    assert_eq!(allocator.step(now), "a=3334 b=3333 c=3333");
     let limit = RateShare::new(100.0, 10.0).unwrap();
-    let part = all.table.share(&VmName::try_from("c").unwrap(), limit);
-    assert!((part.rate() - 33.33).abs() < 1e-9 && (part.burst() - 3.333).abs() < 1e-9);
+    let share = allocator
+        .table
+        .share(&VmName::try_from("c").unwrap(), limit);
+    assert!((share.rate() - 33.33).abs() < 1e-9 && (share.burst() - 3.333).abs() < 1e-9);
 }
 
-// Guards against a grant less than 10 s after an absent VM lost its units,
-// whether the list or the allocator was late.
+// Guards against units that are granted less than 10 s after an absent VM lost
+// them in the table, no matter how long the VM was absent before.
 #[test]
 fn units_of_an_absent_vm_are_granted_after_the_hold_off() {
     let start = Instant::now();
-    let mut all = allocator(start);
-    all.step(start);
-    all.ack(&["a", "b"]);
-    all.vms.extend(vms(&[("b", Presence::AbsentSince(start))]));
-    // The allocator acts only when the VM has been absent for a long time.
+    let mut allocator = allocator(start);
+    allocator.step(start);
+    allocator.ack(&["a", "b"]);
+    allocator
+        .vms
+        .extend(vms(&[("b", Presence::AbsentSince(start))]));
+    // The allocator runs only after the VM has been absent for a long time.
     let late = start + HOLD_OFF * 2;
-    assert_eq!(all.step(late), "a=5000 b=0");
-    all.ack(&["a"]);
-    assert_eq!(all.step(late), "wait for b 10000");
+    assert_eq!(allocator.step(late), "a=5000 b=0");
+    allocator.ack(&["a"]);
+    assert_eq!(allocator.step(late), "wait for b 10000");
     let before = late + HOLD_OFF - Duration::from_millis(1);
-    assert_eq!(all.step(before), "wait for b 1");
-    assert_eq!(all.step(late + HOLD_OFF), "a=10000");
+    assert_eq!(allocator.step(before), "wait for b 1");
+    assert_eq!(allocator.step(late + HOLD_OFF), "a=10000");
 }
 
-// Guards against a leaving VM that keeps its units or is forgotten too early.
+// Guards against a leaving VM that keeps its units, and against granting them to
+// others before the leaving VM has acknowledged the loss.
 #[test]
-fn a_leaving_vm_hands_its_units_over() {
+fn units_of_a_leaving_vm_move_after_its_acknowledgement() {
     let now = Instant::now();
-    let mut all = allocator(now);
-    all.step(now);
-    all.vms.extend(vms(&[("b", Presence::Leaving)]));
-    assert_eq!(all.step(now), "a=5000 b=0");
-    all.ack(&["a"]);
-    assert_eq!(all.step(now), "wait for b");
-    all.ack(&["b"]);
-    assert_eq!(all.step(now), "a=10000");
-    assert_eq!(all.step(now), "done");
+    let mut allocator = allocator(now);
+    allocator.step(now);
+    allocator.vms.extend(vms(&[("b", Presence::Leaving)]));
+    assert_eq!(allocator.step(now), "a=5000 b=0");
+    allocator.ack(&["a"]);
+    assert_eq!(allocator.step(now), "wait for b");
+    allocator.ack(&["b"]);
+    assert_eq!(allocator.step(now), "a=10000");
+    assert_eq!(allocator.step(now), "done");
 }
 
-// Guards against a stored table that would give away more than the whole.
+// Guards against a stored table that assigns more than all of the limits.
 #[test]
-fn a_table_over_the_whole_is_rejected() {
+fn a_table_with_too_many_units_is_rejected() {
     let units =
         BTreeMap::from([("a", UNITS), ("b", 1)].map(|(n, u)| (VmName::try_from(n).unwrap(), u)));
     assert!(ShareTable::new(1, FencingToken::new(1), units).is_err());
 }
 
-fn weights(parts: [u32; 3]) -> Weights {
-    let sum: u32 = parts.iter().sum::<u32>().max(1);
-    let mut units = parts.map(|p| p * 10_000 / sum);
+/// Weights of three regions, approximately in these proportions.
+fn weights(proportions: [u32; 3]) -> Weights {
+    let sum: u32 = proportions.iter().sum::<u32>().max(1);
+    let mut units = proportions.map(|p| p * 10_000 / sum);
     units[0] += 10_000 - units.iter().sum::<u32>();
     let names = ["x", "y", "z"].map(|n| RegionName::try_from(n).unwrap());
     Weights::new(names.into_iter().zip(units).collect()).unwrap()
@@ -144,8 +156,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    // Guards against a step over its cap, one that comes too early, weights that
-    // do not add up, and a target that is never reached.
+    // Guards against steps larger than the cap, steps in too quick succession,
+    // weights that do not add up, and a target that is never reached.
     #[test]
     fn weights_reach_their_target_in_capped_steps(
         from in proptest::array::uniform3(0..100u32),
--- a/crates/filbertgrade-coord/tests/ledger/fleet.rs
+++ b/crates/filbertgrade-coord/tests/ledger/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet of ledgers with a lossy network, an allocator and a checker.
+//! A simulated fleet of ledgers with an unreliable network, an allocator and
+//! checks of the team's limit.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,9 +15,10 @@
     AllocatorView, Presence, ShareTable, TableStep, UNITS, next_step,
 };
 
+/// Time for which a copy of the share table permits use of the base.
 pub(crate) const FRESH_FOR: Duration = Duration::from_secs(5);
 
-/// Rounding of sums of parts.
+/// Tolerance for rounding errors in sums of shares and tokens.
 const EPSILON: f64 = 1e-6;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -24,29 +26,39 @@
     LoanRequest(LoanRequest),
     Loan(Loan),
     Renew(VmName, Renewal),
-    RenewalReply(Renewal, RenewalReply),
+    RenewReply(Renewal, RenewalReply),
     LoanReturn(LoanReturn),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Op {
+    /// Advances the time by this number of milliseconds.
     Advance(u64),
-    /// Admits until a request has to wait.
+    /// Admits requests until one has to wait.
     Spend(usize),
     RequestLoan(usize),
-    Due(usize),
+    /// Sends the renewals and returns that are due.
+    RunDueActions(usize),
     ReturnLoans(usize),
+    /// Withdraws a waiting request.
     Abandon(usize),
+    /// Delivers the message at this position in the network.
     Deliver(usize),
+    /// Delivers the message at this position and keeps a copy in the network.
     Duplicate(usize),
+    /// Drops the message at this position.
     Lose(usize),
+    /// Replaces a VM's ledger by one of a new incarnation.
     Crash(usize),
-    Freeze(usize),
-    Thaw(usize),
-    /// Brings the newest table and permission to use the base for 5 s.
-    Feed(usize),
+    /// Pauses a VM: it performs no operation and receives no message.
+    Pause(usize),
+    Resume(usize),
+    /// Applies the current share table at a VM and permits use of the base for 5 s.
+    ApplyTable(usize),
+    /// Removes a VM from the platform's list.
     Unlist(usize),
     List(usize),
+    /// Runs one step of the allocator.
     Allocate,
 }
 
@@ -55,9 +67,11 @@
     pub(crate) now: Instant,
     pub(crate) limit: RateShare,
     pub(crate) ledgers: Vec<ShareLedger>,
+    /// Messages in transit, with the index of the VM that receives them.
     pub(crate) network: Vec<(usize, Message)>,
+    /// Times of all admissions in the fleet.
     pub(crate) admitted: Vec<Instant>,
-    frozen: Vec<bool>,
+    paused: Vec<bool>,
     incarnation: u64,
     table: ShareTable,
     table_since: Instant,
@@ -66,7 +80,8 @@
 }
 
 impl Fleet {
-    /// A fleet whose hold after the start is over and whose base is in use.
+    /// Creates a fleet in which the start delay has ended and every VM may use
+    /// its base.
     pub(crate) fn new(limit: RateShare, units: &[u32]) -> Self {
         let start = Instant::now();
         let names: Vec<VmName> = (0..units.len()).map(vm).collect();
@@ -77,7 +92,7 @@
             ledgers: names.iter().map(|name| ledger(name, 0, start)).collect(),
             network: Vec::new(),
             admitted: Vec::new(),
-            frozen: vec![false; names.len()],
+            paused: vec![false; names.len()],
             incarnation: 0,
             table: ShareTable::new(1, FencingToken::new(1), units).unwrap(),
             table_since: start,
@@ -86,11 +101,12 @@
         };
         fleet.now += LedgerConfig::default().start_delay();
         for i in 0..names.len() {
-            fleet.apply(Op::Feed(i));
+            fleet.apply(Op::ApplyTable(i));
         }
         fleet
     }
 
+    /// Applies an operation without checks. Numbers of VMs and messages wrap around.
     fn apply(&mut self, op: Op) {
         let now = self.now;
         let count = self.ledgers.len();
@@ -112,14 +128,14 @@
             Op::Crash(i) => {
                 self.incarnation += 1;
                 self.ledgers[i % count] = ledger(&vm(i % count), self.incarnation, now);
-                self.frozen[i % count] = false;
+                self.paused[i % count] = false;
             }
-            Op::Freeze(i) => self.frozen[i % count] = true,
-            Op::Thaw(i) => self.frozen[i % count] = false,
+            Op::Pause(i) => self.paused[i % count] = true,
+            Op::Resume(i) => self.paused[i % count] = false,
             Op::Unlist(i) => {
-                let seen = self.presence.get_mut(&vm(i % count)).unwrap();
-                if *seen == Presence::Live {
-                    *seen = Presence::AbsentSince(now);
+                let presence = self.presence.get_mut(&vm(i % count)).unwrap();
+                if *presence == Presence::Live {
+                    *presence = Presence::AbsentSince(now);
                 }
             }
             Op::List(i) => {
@@ -127,17 +143,18 @@
             }
             Op::Spend(i)
             | Op::RequestLoan(i)
-            | Op::Due(i)
+            | Op::RunDueActions(i)
             | Op::ReturnLoans(i)
             | Op::Abandon(i)
-            | Op::Feed(i) => {
-                if !self.frozen[i % count] {
+            | Op::ApplyTable(i) => {
+                if !self.paused[i % count] {
                     self.act(i % count, op);
                 }
             }
         }
     }
 
+    /// Applies an operation of a single running VM.
     fn act(&mut self, i: usize, op: Op) {
         let now = self.now;
         let ledger = &mut self.ledgers[i];
@@ -159,7 +176,7 @@
                     }
                 }
             }
-            Op::Due(_) => {
+            Op::RunDueActions(_) => {
                 for action in ledger.due_loan_actions(now) {
                     self.network.push(match action {
                         LoanAction::Renew(r) => (index(&r.loan.lender), Message::Renew(vm(i), r)),
@@ -185,9 +202,10 @@
         }
     }
 
-    /// A frozen VM loses what reaches it, as its peers time out.
+    /// Delivers a message. A paused VM loses it, because the senders' calls time
+    /// out before the VM resumes.
     fn receive(&mut self, to: usize, message: Message) {
-        if self.frozen[to] {
+        if self.paused[to] {
             return;
         }
         let (now, ledger) = (self.now, &mut self.ledgers[to]);
@@ -202,13 +220,11 @@
                 ledger.credit(now, &loan);
             }
             Message::Renew(from, renewal) => {
-                let answer = ledger.renew(now, &renewal);
+                let reply = ledger.renew(now, &renewal);
                 self.network
-                    .push((index(&from), Message::RenewalReply(renewal, answer)));
-            }
-            Message::RenewalReply(renewal, answer) => {
-                ledger.apply_renewal_reply(now, &renewal, answer)
+                    .push((index(&from), Message::RenewReply(renewal, reply)));
             }
+            Message::RenewReply(renewal, reply) => ledger.apply_renewal_reply(now, &renewal, reply),
             Message::LoanReturn(returned) => {
                 ledger.accept_return(now, &returned);
             }
@@ -230,24 +246,29 @@
         }
     }
 
-    /// Applies an operation, and checks the sums of parts and tokens and every window.
+    /// Applies an operation. Then checks that the shares and tokens of all VMs
+    /// add up to no more than the limit, and that no interval contains more
+    /// admissions than the limit allows.
     pub(crate) fn step(&mut self, op: Op) -> Result<(), String> {
-        let (before, checked, at) = (self.tokens(), self.admitted.len(), self.now);
+        let (tokens_before, checked, started_at) = (self.tokens(), self.admitted.len(), self.now);
         self.apply(op);
-        let held = self.held();
-        let sum = held
+        let snapshots = self.snapshots();
+        let sum = snapshots
             .iter()
             .fold(RateShare::ZERO, |sum, s| sum.plus(s.share));
         if sum.rate() > self.limit.rate() + EPSILON || sum.burst() > self.limit.burst() + EPSILON {
-            return Err(format!("parts add up to {sum:?}"));
+            return Err(format!("shares add up to {sum:?}"));
         }
-        if let Some(over) = held.iter().find(|s| s.tokens > s.share.burst() + EPSILON) {
+        if let Some(over) = snapshots
+            .iter()
+            .find(|s| s.tokens > s.share.burst() + EPSILON)
+        {
             return Err(format!("more tokens than burst: {over:?}"));
         }
-        let filled = self.limit.rate() * self.now.duration_since(at).as_secs_f64();
+        let filled = self.limit.rate() * self.now.duration_since(started_at).as_secs_f64();
         let spent = (self.admitted.len() - checked) as f64;
-        if self.tokens() > before + filled - spent + EPSILON {
-            return Err(format!("{before} tokens became {}", self.tokens()));
+        if self.tokens() > tokens_before + filled - spent + EPSILON {
+            return Err(format!("{tokens_before} tokens became {}", self.tokens()));
         }
         for (j, last) in self.admitted.iter().enumerate().skip(checked) {
             for (i, first) in self.admitted[..=j].iter().enumerate() {
@@ -261,14 +282,15 @@
         Ok(())
     }
 
-    /// What each VM would hold if it ran now, frozen or not.
-    fn held(&self) -> Vec<LedgerSnapshot> {
+    /// The current state of each VM's ledger, whether the VM is paused or not.
+    fn snapshots(&self) -> Vec<LedgerSnapshot> {
         (self.ledgers.iter().cloned())
             .map(|mut ledger| ledger.snapshot(self.now))
             .collect()
     }
 
-    /// All tokens, with those in transit that their receiver would accept.
+    /// All tokens in the fleet, including those in transit that the receiver
+    /// would accept.
     fn tokens(&self) -> f64 {
         let in_transit = self.network.iter().map(|(to, message)| {
             let mut ledger = self.ledgers[*to].clone();
@@ -283,8 +305,8 @@
                 _ => 0.0,
             }
         });
-        let held = self.held();
-        held.iter().map(|s| s.tokens).chain(in_transit).sum()
+        let snapshots = self.snapshots();
+        snapshots.iter().map(|s| s.tokens).chain(in_transit).sum()
     }
 }
 
--- a/crates/filbertgrade-coord/tests/ledger/main.rs
+++ b/crates/filbertgrade-coord/tests/ledger/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the share ledger: scenarios, random runs and an exhaustive search.
+//! Tests of the share ledger: scenario files, random sequences of operations
+//! and an exhaustive search over short sequences.
 
 #![expect(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
--- a/crates/filbertgrade-coord/tests/ledger/script.rs
+++ b/crates/filbertgrade-coord/tests/ledger/script.rs
@@ -1,10 +1,13 @@
 //! Runs the scenario files of the share ledger.
 //!
 //! Commands: `advance MS`, `base VM RATE BURST [VERSION]`, `allow VM MS [VERSION]`,
-//! `forbid VM`, `admit VM [COUNT]`, `retry VM`, `ask VM`, `lend VM`, `credit VM`,
-//! `due VM`, `renew VM`, `renewed VM`, `return VM`, `take VM`, `show VM`.
-//! `lend`, `credit`, `renew`, `renewed` and `take` use the newest message of
-//! their kind, which stays, so that a second use is a duplicate.
+//! `forbid VM`, `admit VM [COUNT]`, `retry VM [COUNT]`, `request VM`, `lend VM`,
+//! `credit VM`, `due VM`, `renew VM`, `renewed VM`, `return VM`, `accept VM`,
+//! `show VM`.
+//!
+//! `lend`, `credit`, `renew`, `renewed` and `accept` deliver the latest message
+//! of their kind to the VM. The message is kept, so using the command again
+//! delivers a duplicate.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -20,6 +23,7 @@
 use goldenscript::{Command, Context};
 use rstest::rstest;
 
+/// The ledgers by VM, and the latest message of each kind.
 struct Runner {
     start: Instant,
     now: Instant,
@@ -27,15 +31,17 @@
     request: Option<LoanRequest>,
     loan: Option<Loan>,
     renewal: Option<Renewal>,
-    answer: RenewalReply,
+    reply: RenewalReply,
     returned: Option<LoanReturn>,
 }
 
 impl Runner {
+    /// Milliseconds from the start of the script to `at`.
     fn ms(&self, at: Instant) -> u128 {
         at.duration_since(self.start).as_millis()
     }
 
+    /// The ledger of a VM, created at its first use.
     fn ledger(&mut self, vm: &str) -> Result<&mut ShareLedger, Box<dyn Error>> {
         let (name, now) = (VmName::try_from(vm)?, self.now);
         let team = TeamName::try_from("orders")?;
@@ -90,15 +96,18 @@
                 format!("at {}", self.ms(self.now))
             }
             "base" => {
-                let rate = args.next_pos().ok_or("rate")?.parse()?;
-                let burst = args.next_pos().ok_or("burst")?.parse()?;
+                let rate = args.next_pos().ok_or("the rate is missing")?.parse()?;
+                let burst = args.next_pos().ok_or("the burst is missing")?.parse()?;
                 let version = args.next_pos().unwrap_or("1").parse()?;
                 self.ledger(vm)?
                     .set_base(now, version, RateShare::new(rate, burst)?);
                 String::new()
             }
             "allow" => {
-                let until = now + Duration::from_millis(args.next_pos().ok_or("ms")?.parse()?);
+                let until = now
+                    + Duration::from_millis(
+                        args.next_pos().ok_or("the duration is missing")?.parse()?,
+                    );
                 let version = args.next_pos().unwrap_or("1").parse()?;
                 format!("{}", self.ledger(vm)?.allow_base(now, version, until))
             }
@@ -123,17 +132,20 @@
                 }
                 out.join("\n")
             }
-            "ask" => match self.ledger(vm)?.request_loan(now) {
+            "request" => match self.ledger(vm)?.request_loan(now) {
                 None => "None".to_owned(),
                 Some(request) => {
                     let (rate, burst) = (request.share.rate(), request.share.burst());
-                    let out = format!("wants {rate:.2}/s {burst:.2} tokens {:.2}", request.tokens);
+                    let out = format!(
+                        "requests {rate:.2}/s {burst:.2} tokens {:.2}",
+                        request.tokens
+                    );
                     self.request = Some(request);
                     out
                 }
             },
             "lend" => {
-                let request = self.request.clone().ok_or("no loan request")?;
+                let request = self.request.clone().ok_or("no loan was requested")?;
                 match self.ledger(vm)?.lend(now, &request) {
                     LendOutcome::Declined(refusal) => format!("{refusal:?}"),
                     LendOutcome::Lent(loan) => {
@@ -145,7 +157,7 @@
                 }
             }
             "credit" => {
-                let loan = self.loan.clone().ok_or("no loan")?;
+                let loan = self.loan.clone().ok_or("no loan was granted")?;
                 let credit = self.ledger(vm)?.credit(now, &loan);
                 let debug = format!("{credit:?}");
                 debug.split(' ').next().unwrap_or_default().to_owned()
@@ -160,7 +172,7 @@
                             out
                         }
                         LoanAction::Return(returned) => {
-                            let out = format!("give back {:.2}", returned.tokens);
+                            let out = format!("return {:.2}", returned.tokens);
                             self.returned = Some(returned);
                             out
                         }
@@ -169,23 +181,26 @@
                 out.join("\n")
             }
             "renew" => {
-                let renewal = self.renewal.clone().ok_or("no renewal")?;
-                self.answer = self.ledger(vm)?.renew(now, &renewal);
-                format!("{:?}", self.answer)
+                let renewal = self.renewal.clone().ok_or("no renewal was sent")?;
+                self.reply = self.ledger(vm)?.renew(now, &renewal);
+                format!("{:?}", self.reply)
             }
             "renewed" => {
-                let renewal = self.renewal.clone().ok_or("no renewal")?;
-                let answer = self.answer;
-                self.ledger(vm)?.apply_renewal_reply(now, &renewal, answer);
+                let renewal = self.renewal.clone().ok_or("no renewal was sent")?;
+                let reply = self.reply;
+                self.ledger(vm)?.apply_renewal_reply(now, &renewal, reply);
                 String::new()
             }
             "return" => {
-                let mut all = self.ledger(vm)?.return_all_loans(now);
-                self.returned = all.pop();
-                format!("{:.2}", self.returned.as_ref().ok_or("no loan")?.tokens)
+                let mut returns = self.ledger(vm)?.return_all_loans(now);
+                self.returned = returns.pop();
+                format!(
+                    "{:.2}",
+                    self.returned.as_ref().ok_or("the VM has no loan")?.tokens
+                )
             }
-            "take" => {
-                let returned = self.returned.clone().ok_or("nothing returned")?;
+            "accept" => {
+                let returned = self.returned.clone().ok_or("no loan was returned")?;
                 format!("{}", self.ledger(vm)?.accept_return(now, &returned))
             }
             "show" => self.show(vm)?,
@@ -198,9 +213,9 @@
     }
 }
 
-// Guards against changes of the exchange between lender and borrower, step by step.
+// Guards against unintended changes of the protocol between lender and borrower.
 #[rstest]
-fn script(#[files("tests/ledger/scripts/*")] path: std::path::PathBuf) {
+fn scenario_output_is_unchanged(#[files("tests/ledger/scripts/*")] path: std::path::PathBuf) {
     let start = Instant::now();
     let mut runner = Runner {
         start,
@@ -209,7 +224,7 @@
         request: None,
         loan: None,
         renewal: None,
-        answer: RenewalReply::Declined,
+        reply: RenewalReply::Declined,
         returned: None,
     };
     goldenscript::run(&mut runner, Path::new(&path)).unwrap();
--- a/crates/filbertgrade-coord/tests/slots/main.rs
+++ b/crates/filbertgrade-coord/tests/slots/main.rs
@@ -1,7 +1,8 @@
-//! Tests of the slot book: scenario files and random runs.
+//! Tests of the slot pool: scenario files and random sequences of operations.
 //!
 //! Script commands: `advance MS`, `endpoint NAME SLOTS [cold]`, `drain NAME`,
-//! `undrain NAME`, `cool NAME`, `acquire TEAM [local|remote] [DEADLINE_MS] [COUNT]`,
+//! `undrain NAME`, `restart-ramp NAME`,
+//! `acquire TEAM [local|remote] [DEADLINE_MS] [COUNT] [AVOIDED_ENDPOINT]`,
 //! `release PERMIT`, `renew PERMIT`, `adopt NAME`, `cancel TICKET`, `expire all`,
 //! `show all`.
 
@@ -22,7 +23,7 @@
 struct Runner {
     start: Instant,
     now: Instant,
-    book: SlotPool,
+    pool: SlotPool,
     tickets: BTreeMap<u64, Ticket>,
 }
 
@@ -32,12 +33,12 @@
         Self {
             start,
             now: start,
-            book: SlotPool::new(1, SlotConfig::default()),
+            pool: SlotPool::new(1, SlotConfig::default()),
             tickets: BTreeMap::new(),
         }
     }
 
-    fn grant(&self, grant: &Grant) -> String {
+    fn format_grant(&self, grant: &Grant) -> String {
         let until = grant.until.duration_since(self.start).as_millis();
         format!(
             "permit {} on {} until {until}",
@@ -45,16 +46,19 @@
         )
     }
 
-    fn late(&self, granted: &[QueuedGrant]) -> String {
-        let line = |late: &QueuedGrant| {
-            let (team, ticket) = (&late.request.team, late.ticket.get());
-            format!("{team} ticket {ticket}: {}\n", self.grant(&late.grant))
+    fn format_queued(&self, granted: &[QueuedGrant]) -> String {
+        let line = |queued: &QueuedGrant| {
+            let (team, ticket) = (&queued.request.team, queued.ticket.get());
+            format!(
+                "{team} ticket {ticket}: {}\n",
+                self.format_grant(&queued.grant)
+            )
         };
         granted.iter().map(line).collect()
     }
 
     fn show(&self) -> String {
-        let s = self.book.snapshot(self.now);
+        let s = self.pool.snapshot(self.now);
         let endpoint = s.endpoints.iter().map(|e| {
             let drain = if e.draining { " draining" } else { "" };
             format!(
@@ -89,24 +93,27 @@
                 format!("at {}", self.now.duration_since(self.start).as_millis())
             }
             "endpoint" => {
-                let slots = args.next_pos().ok_or("slots")?.parse()?;
+                let slots = args
+                    .next_pos()
+                    .ok_or("the number of slots is missing")?
+                    .parse()?;
                 let temperature = match args.next_pos() {
                     Some("cold") => Temperature::Cold,
                     _ => Temperature::Warm,
                 };
                 let name = EndpointName::try_from(first)?;
-                let granted = self.book.set_endpoint(now, name, slots, temperature);
-                self.late(&granted)
+                let granted = self.pool.set_endpoint(now, name, slots, temperature);
+                self.format_queued(&granted)
             }
             "drain" | "undrain" => {
                 let draining = command.name == "drain";
                 let name = EndpointName::try_from(first)?;
-                let granted = self.book.set_draining(now, &name, draining);
-                self.late(&granted)
+                let granted = self.pool.set_draining(now, &name, draining);
+                self.format_queued(&granted)
             }
-            "cool" => {
-                let granted = self.book.restart_ramp(now, &EndpointName::try_from(first)?);
-                self.late(&granted)
+            "restart-ramp" => {
+                let granted = self.pool.restart_ramp(now, &EndpointName::try_from(first)?);
+                self.format_queued(&granted)
             }
             "acquire" => {
                 let origin = match args.next_pos() {
@@ -126,8 +133,8 @@
                 };
                 let mut out = String::new();
                 for _ in 0..count {
-                    out += &match self.book.acquire(now, request.clone()) {
-                        AcquireOutcome::Granted(grant) => self.grant(&grant),
+                    out += &match self.pool.acquire(now, request.clone()) {
+                        AcquireOutcome::Granted(grant) => self.format_grant(&grant),
                         AcquireOutcome::Queued(ticket) => {
                             self.tickets.insert(ticket.get(), ticket);
                             format!("ticket {}", ticket.get())
@@ -139,23 +146,23 @@
                 out
             }
             "release" => {
-                let granted = self.book.release(now, permit(first)?);
-                self.late(&granted)
+                let granted = self.pool.release(now, permit(first)?);
+                self.format_queued(&granted)
             }
             "renew" => {
-                let answer = format!("{:?}", self.book.renew(now, permit(first)?));
-                answer.split(' ').next().unwrap_or_default().to_owned()
+                let renewal = format!("{:?}", self.pool.renew(now, permit(first)?));
+                renewal.split(' ').next().unwrap_or_default().to_owned()
             }
             "adopt" => {
-                let adopted = self.book.adopt(now, &EndpointName::try_from(first)?);
-                adopted.map_or("None".to_owned(), |grant| self.grant(&grant))
+                let adopted = self.pool.adopt(now, &EndpointName::try_from(first)?);
+                adopted.map_or("None".to_owned(), |grant| self.format_grant(&grant))
             }
             "cancel" => {
                 let ticket = *self.tickets.get(&first.parse()?).ok_or("no such ticket")?;
-                format!("{}", self.book.cancel(ticket))
+                format!("{}", self.pool.cancel(ticket))
             }
             "expire" => {
-                let expired = self.book.expire(now);
+                let expired = self.pool.expire(now);
                 let permits = expired
                     .permits
                     .iter()
@@ -165,7 +172,7 @@
                     .iter()
                     .map(|(ticket, _, cause)| format!("ticket {}: {cause:?}\n", ticket.get()));
                 let out: String = permits.chain(refused).collect();
-                out + &self.late(&expired.granted)
+                out + &self.format_queued(&expired.granted)
             }
             "show" => self.show(),
             name => return Err(format!("unknown command {name}").into()),
@@ -173,46 +180,47 @@
     }
 }
 
-// Guards against changes of who gets which slot, step by step.
+// Guards against unintended changes of which request gets which slot.
 #[rstest]
-fn script(#[files("tests/slots/scripts/*")] path: std::path::PathBuf) {
+fn scenario_output_is_unchanged(#[files("tests/slots/scripts/*")] path: std::path::PathBuf) {
     goldenscript::run(&mut Runner::new(), path).unwrap();
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    // Guards against permits beyond the open slots, a slot that is lost, a
-    // waiting request that is neither granted nor refused, and slots that stay
-    // free while a local request waits.
+    // Guards against permits in excess of the open slots, slots that remain
+    // occupied without a permit, waiting requests that are neither granted nor
+    // refused, and slots that remain free while a local request waits.
     #[test]
-    fn permits_and_slots_agree(ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 1..200)) {
-        let fail = |fault: String| Err(TestCaseError::fail(fault));
+    fn permits_match_occupied_slots(ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 1..200)) {
+        let fail = |message: String| Err(TestCaseError::fail(message));
         let mut now = Instant::now();
-        let mut book = SlotPool::new(1, SlotConfig::default());
+        let mut pool = SlotPool::new(1, SlotConfig::default());
         let names = ["e-0", "e-1", "e-2"].map(|n| EndpointName::try_from(n).unwrap());
-        let (mut queued, mut answered) = (0usize, 0usize);
+        let (mut queued, mut decided) = (0usize, 0usize);
         for (op, a, b) in ops {
             let name = &names[usize::from(a) % 3];
-            let before = book.snapshot(now);
+            let before = pool.snapshot(now);
             match op % 11 {
                 0 => {
                     let temperature = if b % 2 == 0 { Temperature::Warm } else { Temperature::Cold };
-                    answered += book.set_endpoint(now, name.clone(), u32::from(b % 5), temperature).len();
+                    decided += pool.set_endpoint(now, name.clone(), u32::from(b % 5), temperature).len();
                 }
-                1 if b % 4 == 0 => answered += book.remove_endpoint(now, name).len(),
-                1 => answered += book.set_draining(now, name, b % 2 == 0).len(),
-                2 => answered += book.restart_ramp(now, name).len(),
+                1 if b % 4 == 0 => decided += pool.remove_endpoint(now, name).len(),
+                1 => decided += pool.set_draining(now, name, b % 2 == 0).len(),
+                2 => decided += pool.restart_ramp(now, name).len(),
                 3 => {
                     now += Duration::from_millis(u64::from(a) * 4);
-                    let expired = book.expire(now);
-                    answered += expired.granted.len() + expired.refused.len();
+                    let expired = pool.expire(now);
+                    decided += expired.granted.len() + expired.refused.len();
                 }
                 4 | 5 => {
                     let id = PermitId { incarnation: 1, number: u64::from(a) };
-                    answered += book.release(now, id).len();
+                    decided += pool.release(now, id).len();
                 }
-                // Time passes without expire(), which next_event_at must ask for.
+                // Time passes without a call of expire(). next_event_at() must
+                // then report that a call is due.
                 6 => now += Duration::from_millis(u64::from(a) * 4),
                 _ => {
                     let team = ["local-0", "local-1", "remote"][usize::from(b) % 3];
@@ -223,12 +231,12 @@
                         deadline: now + Duration::from_millis(u64::from(b) * 20),
                         avoid: Vec::new(),
                     };
-                    if let AcquireOutcome::Queued(_) = book.acquire(now, request) {
+                    if let AcquireOutcome::Queued(_) = pool.acquire(now, request) {
                         queued += 1;
                     }
                 }
             }
-            let after = book.snapshot(now);
+            let after = pool.snapshot(now);
             for e in &after.endpoints {
                 let old = before.endpoints.iter().find(|o| o.name == e.name).map_or(0, |o| o.in_use);
                 if e.in_use > old && (e.in_use > e.open || e.draining) {
@@ -236,8 +244,8 @@
                 }
             }
             let full = (after.endpoints.iter()).all(|e| e.draining || e.in_use >= e.open);
-            let asked = book.next_event_at(now).is_some_and(|at| at <= now);
-            if !full && !asked && after.waiting.iter().any(|(team, _)| team.as_str().starts_with("local")) {
+            let expire_is_due = pool.next_event_at(now).is_some_and(|at| at <= now);
+            if !full && !expire_is_due && after.waiting.iter().any(|(team, _)| team.as_str().starts_with("local")) {
                 return fail(format!("a local request waits for a free slot: {after:?}"));
             }
             let in_use: u32 = after.endpoints.iter().map(|e| e.in_use).sum();
@@ -245,8 +253,8 @@
                 return fail(format!("{} permits, {in_use} in use", after.permits));
             }
             let waiting: usize = after.waiting.iter().map(|(_, n)| n).sum();
-            if queued != answered + waiting {
-                return fail(format!("{queued} queued, {answered} answered, {waiting} waiting"));
+            if queued != decided + waiting {
+                return fail(format!("{queued} queued, {decided} decided, {waiting} waiting"));
             }
         }
     }
