--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -415,7 +415,7 @@
                     return Some(Message::Renewed(renewal, answer));
                 }
                 Message::Renewed(renewal, answer) => {
-                    ledger.apply_renewal_reply(now, &renewal, answer)
+                    ledger.apply_renewal_reply(now, &renewal, answer);
                 }
                 Message::Admitted(_) => {}
             },
