--- a/crates/filbertgrade-coord/src/ledger.rs
+++ b/crates/filbertgrade-coord/src/ledger.rs
@@ -1,5 +1,10 @@
 //! A VM's share of one team's rate and burst, with loans between VMs.
 //!
+//! The share table assigns each VM a *base*, which is its fraction of the team's
+//! limit. A VM whose demand exceeds its base borrows rate, burst and tokens from
+//! VMs with spare ones. An *incarnation* is a number that distinguishes the
+//! ledgers that a VM creates for the same team, for example after a restart.
+//!
 //! Summed over all VMs and all loans in transit, the rates never exceed the
 //! team's rate and the bursts never exceed its burst. No VM and no message
 //! holds more tokens than its own burst. The fleet therefore admits at most
@@ -37,7 +42,9 @@
     /// End of the permission to use the base; `None` if there is none.
     base_until: Option<Instant>,
     base_usable: bool,
+    /// Loans that this VM granted to others.
     loans_out: BTreeMap<LoanId, LoanOut>,
+    /// Loans that this VM has borrowed.
     loans_in: BTreeMap<LoanId, LoanIn>,
     /// Loan requests, by number, that were sent less than a loan lease ago.
     /// Loans for older requests have expired and are not credited.
@@ -46,6 +53,7 @@
     next_loan_request: u64,
     next_loan: u64,
     arrivals: ArrivalRate,
+    /// Number of requests that wait for a token.
     waiting: u32,
 }
 
--- a/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
+++ b/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
@@ -65,8 +65,8 @@
 // duplicated.
 #[case::lend(
     &[],
-    &[Op::Spend(0), Op::Spend(1), Op::RequestLoan(1), Op::Spend(2), Op::RequestLoan(2), Op::Deliver(0),
-      Op::Deliver(1), Op::Duplicate(0), Op::Lose(0), Op::Advance(1_100)],
+    &[Op::Spend(0), Op::Spend(1), Op::RequestLoan(1), Op::Spend(2), Op::RequestLoan(2),
+      Op::Deliver(0), Op::Deliver(1), Op::Duplicate(0), Op::Lose(0), Op::Advance(1_100)],
     6
 )]
 // A loan is renewed or returned, or expires during a pause or after a crash.
@@ -79,22 +79,24 @@
 // The lender's base shrinks before its loan ends.
 #[case::shrink(
     &[],
-    &[Op::Allocate, Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2), Op::ReturnLoans(1), Op::Deliver(0),
-      Op::Advance(1_100)],
+    &[Op::Allocate, Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2),
+      Op::ReturnLoans(1), Op::Deliver(0), Op::Advance(1_100)],
     7
 )]
 // The lender is no longer listed and has lost its units in the share table.
 #[case::absent(
     &[Op::Unlist(0), Op::Allocate, Op::ApplyTable(1), Op::ApplyTable(2)],
-    &[Op::Spend(0), Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2), Op::Allocate, Op::Crash(0),
-      Op::Advance(2_600), Op::Advance(5_100)],
+    &[Op::Spend(0), Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2), Op::Allocate,
+      Op::Crash(0), Op::Advance(2_600), Op::Advance(5_100)],
     6
 )]
 // A running VM is missing from the list, and the allocator removes its units
 // only after it has been absent for the whole hold-off.
 #[case::missed(
-    &[Op::Unlist(0), Op::Advance(10_000), Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2)],
-    &[Op::Spend(0), Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2), Op::Allocate, Op::Advance(1_100)],
+    &[Op::Unlist(0), Op::Advance(10_000), Op::ApplyTable(0), Op::ApplyTable(1),
+      Op::ApplyTable(2)],
+    &[Op::Spend(0), Op::ApplyTable(0), Op::ApplyTable(1), Op::ApplyTable(2), Op::Allocate,
+      Op::Advance(1_100)],
     6
 )]
 fn every_interleaving_stays_within_the_limit(
