--- a/crates/filbertgrade-coord/src/dissemination.rs
+++ b/crates/filbertgrade-coord/src/dissemination.rs
@@ -1,11 +1,17 @@
-//! Who watches the store, whom to pull from, and when to poll the store directly.
+//! Chooses which agents watch the store, which peers an agent pulls from, and
+//! when an agent polls the store itself.
+//!
+//! In each failure domain a few agents, the relays, watch the store. The others
+//! pull new state from peers, and poll the store only when no confirmation that
+//! their state is current has arrived for [`POLL_DELAY`]. All choices are made
+//! by rendezvous hashing over the platform's list of VMs, without messages.
 
 use std::time::{Duration, Instant};
 
 use crate::names::{FailureDomainName, RegionName, VmName};
 use crate::rendezvous;
 
-/// An agent as the platform's list describes it.
+/// An agent and its location, as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The VM the agent runs on.
@@ -16,29 +22,35 @@
     pub failure_domain: FailureDomainName,
 }
 
-/// Relays in each failure domain. With two, the loss of one VM leaves a watch in place.
+/// Number of relays in each failure domain. With two, one agent still watches
+/// the store when a VM is lost.
 pub const RELAYS_PER_DOMAIN: usize = 2;
 
-/// Members of each tier that one agent pulls from over time.
+/// Number of members in each tier (own failure domain, own region, other
+/// regions) that one agent pulls from over time.
 ///
-/// It bounds the links of an agent to about three times as many out and, on
-/// average, in. With eight random members, a VM is cut off from a tier only
-/// when all eight have failed and the platform's list still names them.
+/// It limits the connections of an agent to about three times this number, for
+/// outgoing ones and, on average, for incoming ones. With eight members chosen
+/// at random, a VM is cut off from a tier only when all eight have failed while
+/// the platform still lists them.
 pub const NEIGHBOURS_PER_TIER: usize = 8;
 
-/// Time without a confirmation after which a non-relay polls the store itself.
+/// Time without a confirmation after which an agent that is not a relay polls
+/// the store itself.
 ///
 /// It leaves 3 s of the 5 s freshness bound for the poll and its retries.
-pub const POLL_AFTER: Duration = Duration::from_secs(2);
+pub const POLL_DELAY: Duration = Duration::from_secs(2);
 
-/// First pause between two polls of one non-relay.
-const POLL_PAUSE: Duration = Duration::from_millis(500);
+/// Initial backoff between two polls of one agent; it doubles with each poll.
+const MIN_POLL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest pause between two polls of one non-relay. It bounds the store's
-/// load while a whole fleet has no confirmation.
-const POLL_PAUSE_MAX: Duration = Duration::from_secs(8);
+/// Longest backoff between two polls of one agent. It limits the load of the
+/// store while no agent of the fleet has a confirmation.
+const MAX_POLL_BACKOFF: Duration = Duration::from_secs(8);
 
-/// The relays of a failure domain, the highest first.
+/// Returns the relays of a failure domain, highest rank first.
+///
+/// There are fewer than [`RELAYS_PER_DOMAIN`] only if the domain has fewer members.
 pub fn relays<'a>(
     domain: &FailureDomainName,
     members: impl IntoIterator<Item = &'a Member>,
@@ -55,13 +67,14 @@
     relays(&me.failure_domain, members).contains(&&me.vm)
 }
 
-/// The members that `me` pulls from over time: up to [`NEIGHBOURS_PER_TIER`]
-/// in the own failure domain, as many in other domains of the own region, and
-/// as many in other regions.
+/// Returns the members that `me` pulls from over time: up to
+/// [`NEIGHBOURS_PER_TIER`] in its own failure domain, as many in other domains
+/// of its region, and as many in other regions.
 ///
-/// The choice is by rendezvous hashing with the name of `me`: agents choose
-/// independently, and a change of the list replaces only members that left
-/// and few others. In a small fleet, it is everyone else.
+/// They are chosen by rendezvous hashing with the name of `me`, so that agents
+/// choose independently and a change of the member list replaces only the
+/// members that left and a few others. In a small fleet, all other members are
+/// neighbours.
 pub fn neighbours<'a>(me: &Member, members: &'a [Member]) -> Vec<&'a Member> {
     let seed = rendezvous::score(0, me.vm.as_str());
     let mut chosen = Vec::new();
@@ -72,29 +85,32 @@
             .map(|m| (rendezvous::score(seed, m.vm.as_str()), m))
             .collect();
         scored.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.vm.cmp(&y.vm)));
-        let highest = scored.into_iter().take(NEIGHBOURS_PER_TIER);
-        chosen.extend(highest.map(|(_, m)| m));
+        let best = scored.into_iter().take(NEIGHBOURS_PER_TIER);
+        chosen.extend(best.map(|(_, m)| m));
     }
     chosen
 }
 
-/// The peers to pull from in one round: up to three, all different, without `me`.
+/// Returns the peers to pull from in one round: up to three different members
+/// other than `me`.
 ///
-/// The first is in the own failure domain, the second in another domain of
-/// the own region, the third in another region. Where there is no such
-/// member, any other member takes its place. The same `seed` and `round` give
-/// the same peers; different VMs should use different seeds.
+/// One is in the failure domain of `me`, one in another domain of its region,
+/// and one in another region. If a tier has no member, a member of any other
+/// tier is chosen instead. The same `seed` and `round` give the same peers;
+/// different VMs should use different seeds.
 pub fn pull_peers(me: &Member, members: &[Member], round: u64, seed: u64) -> Vec<VmName> {
     let seed = rendezvous::score(seed, &format!("{}/{round}", me.vm));
     let mut chosen: Vec<VmName> = Vec::with_capacity(TIERS.len());
     for tier in TIERS {
-        let peer = pick(members, seed, |m| {
+        let peer = highest_scoring(members, seed, |m| {
             m.vm != me.vm && !chosen.contains(&m.vm) && tier(me, m)
         });
         chosen.extend(peer);
     }
     while chosen.len() < TIERS.len() {
-        let Some(peer) = pick(members, seed, |m| m.vm != me.vm && !chosen.contains(&m.vm)) else {
+        let Some(peer) =
+            highest_scoring(members, seed, |m| m.vm != me.vm && !chosen.contains(&m.vm))
+        else {
             break;
         };
         chosen.push(peer);
@@ -102,34 +118,36 @@
     chosen
 }
 
-/// What a non-relay does about polling the store.
+/// Whether an agent that is not a relay polls the store now or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePoll {
     /// Poll now.
     Now,
-    /// Decide again at this instant or at the next confirmation.
+    /// Do not poll yet. Decide again at this instant, or at the next
+    /// confirmation if that is earlier.
     At(Instant),
 }
 
-/// Decides whether a non-relay polls the store.
+/// Decides whether an agent that is not a relay polls the store.
 ///
-/// `confirmed_at` is the instant of the newest confirmation, or of the start.
-/// `last_poll` is the instant of the newest poll since then and the number of
-/// polls since then. The pause doubles with each poll and is jittered by half,
-/// so that a fleet that lost its relays does not poll in step.
-pub fn store_poll(
+/// `confirmed_at` is the instant of the newest confirmation, or of the agent's
+/// start if there is none. `last_poll` is the instant of the newest poll after
+/// `confirmed_at` and the number of polls after it, or `None` if there was no
+/// poll. The backoff doubles with each poll, and half of it is random, so that
+/// the agents of a fleet without relays do not poll simultaneously.
+pub fn next_store_poll(
     confirmed_at: Instant,
     last_poll: Option<(Instant, u32)>,
     seed: u64,
     now: Instant,
 ) -> StorePoll {
     let at = match last_poll {
-        None => confirmed_at + POLL_AFTER + jitter(POLL_PAUSE, seed, 0),
+        None => confirmed_at + POLL_DELAY + jitter(MIN_POLL_BACKOFF, seed, 0),
         Some((polled_at, polls)) => {
-            let pause = POLL_PAUSE
+            let backoff = MIN_POLL_BACKOFF
                 .saturating_mul(1 << polls.min(8))
-                .min(POLL_PAUSE_MAX);
-            polled_at + pause / 2 + jitter(pause / 2, seed, polls)
+                .min(MAX_POLL_BACKOFF);
+            polled_at + backoff / 2 + jitter(backoff / 2, seed, polls)
         }
     };
     if at <= now {
@@ -139,14 +157,20 @@
     }
 }
 
-/// How near the second member is to the first one, the nearest first.
+/// Tests whether the second member is in a tier of the first one: the same
+/// failure domain, another domain of the same region, or another region.
 const TIERS: [fn(&Member, &Member) -> bool; 3] = [
     |me, m| m.failure_domain == me.failure_domain,
     |me, m| m.region == me.region && m.failure_domain != me.failure_domain,
     |me, m| m.region != me.region,
 ];
 
-fn pick(members: &[Member], seed: u64, accept: impl Fn(&Member) -> bool) -> Option<VmName> {
+/// Returns the member with the highest score among those that `accept` admits.
+fn highest_scoring(
+    members: &[Member],
+    seed: u64,
+    accept: impl Fn(&Member) -> bool,
+) -> Option<VmName> {
     members
         .iter()
         .filter(|m| accept(m))
@@ -154,6 +178,7 @@
         .map(|m| m.vm.clone())
 }
 
+/// Returns a pseudo-random duration up to `range`, the same for equal `seed` and `n`.
 fn jitter(range: Duration, seed: u64, n: u32) -> Duration {
     let random = rendezvous::score(seed, &n.to_string());
     range.mul_f64(random as f64 / u64::MAX as f64)
--- a/crates/filbertgrade-coord/src/freshness.rs
+++ b/crates/filbertgrade-coord/src/freshness.rs
@@ -12,7 +12,7 @@
 /// Age up to which a confirmation or a word counts.
 ///
 /// It is the bound within which a withdrawn key stops working.
-pub const FRESH_FOR: Duration = Duration::from_secs(5);
+pub const MAX_EVIDENCE_AGE: Duration = Duration::from_secs(5);
 
 /// Evidence about the store and about every region.
 #[derive(Clone, Debug)]
@@ -35,9 +35,9 @@
     /// replica that is behind lose against one of a higher revision.
     confirmed: Option<(u64, Instant)>,
     /// When the store last answered an agent there, whatever the revision.
-    reached: Option<Instant>,
+    store_answered: Option<Instant>,
     /// When any agent there was last known to speak.
-    heard: Option<Instant>,
+    last_received: Option<Instant>,
     /// The newest revision that any agent there held.
     revision: u64,
 }
@@ -50,9 +50,9 @@
     /// Age of the newest store confirmation, and the revision it confirmed.
     pub confirmed: Option<(Duration, u64)>,
     /// Age of the newest answer of the store, whatever its revision.
-    pub reached: Option<Duration>,
+    pub store_answered: Option<Duration>,
     /// Age of the newest word from any agent there.
-    pub heard: Option<Duration>,
+    pub last_received: Option<Duration>,
     /// Newest revision known to be held there.
     pub revision: u64,
 }
@@ -72,21 +72,21 @@
     },
     /// Newer state may exist. Keys must not be honoured, and the base share
     /// must not be spent.
-    Isolated(IsolatedCause),
+    Isolated(IsolationCause),
 }
 
 /// The first condition that kept the state from being valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IsolatedCause {
+pub enum IsolationCause {
     /// The VM holds nothing yet.
     Empty,
     /// Some agent holds a revision above the held one, or reaches the store
     /// without a confirmation of the held one.
     Behind,
     /// No other agent has replied, although there are other VMs.
-    PeersSilent,
+    PeersUnreachable,
     /// A region with live VMs has not been heard from.
-    RegionSilent,
+    RegionUnreachable,
 }
 
 impl Freshness {
@@ -102,14 +102,14 @@
 impl FreshnessTracker {
     /// Creates a tracker without evidence for an agent in `region`.
     pub fn new(region: RegionName) -> Self {
-        Self::with_bound(region, FRESH_FOR)
+        Self::with_max_age(region, MAX_EVIDENCE_AGE)
     }
 
     /// Creates a tracker that counts evidence up to the age `fresh_for`.
     ///
     /// A bound under a few pull rounds makes healthy VMs isolated; a long
     /// bound lets withdrawn keys work for that long.
-    pub fn with_bound(region: RegionName, fresh_for: Duration) -> Self {
+    pub fn with_max_age(region: RegionName, fresh_for: Duration) -> Self {
         Self {
             region,
             fresh_for,
@@ -120,15 +120,15 @@
     }
 
     /// Notes that the store itself answered with `revision` to a request sent
-    /// at `sent_at`. Call [`hold`](Self::hold) after it.
-    pub fn confirm(&mut self, sent_at: Instant, revision: u64) {
+    /// at `sent_at`. Call [`update_held_confirmation`](Self::update_held_confirmation) after it.
+    pub fn record_confirmation(&mut self, sent_at: Instant, revision: u64) {
         let region = self.region.clone();
         self.note(
             &region,
             Evidence {
                 confirmed: Some((revision, sent_at)),
-                reached: Some(sent_at),
-                heard: Some(sent_at),
+                store_answered: Some(sent_at),
+                last_received: Some(sent_at),
                 revision,
             },
         );
@@ -136,21 +136,21 @@
 
     /// Notes that an agent of `region`, which holds `revision`, replied to a
     /// request sent at `sent_at`.
-    pub fn hear(&mut self, sent_at: Instant, region: &RegionName, revision: u64) {
+    pub fn record_reply(&mut self, sent_at: Instant, region: &RegionName, revision: u64) {
         self.replied = self.replied.max(Some(sent_at));
         self.note(
             region,
             Evidence {
                 confirmed: None,
-                reached: None,
-                heard: Some(sent_at),
+                store_answered: None,
+                last_received: Some(sent_at),
                 revision,
             },
         );
     }
 
     /// Notes that an agent of the own region, or an operator, knows of `revision`.
-    pub fn exists(&mut self, revision: u64) {
+    pub fn record_known_revision(&mut self, revision: u64) {
         let region = self.region.clone();
         let evidence = Evidence {
             revision,
@@ -160,22 +160,26 @@
     }
 
     /// Takes in the ages of a reply to a request sent at `sent_at`. Call
-    /// [`hold`](Self::hold) after it.
-    pub fn absorb<'a>(&mut self, sent_at: Instant, ages: impl IntoIterator<Item = &'a RegionAges>) {
+    /// [`update_held_confirmation`](Self::update_held_confirmation) after it.
+    pub fn record_ages<'a>(
+        &mut self,
+        sent_at: Instant,
+        ages: impl IntoIterator<Item = &'a RegionAges>,
+    ) {
         self.replied = self.replied.max(Some(sent_at));
         for age in ages {
             // An age beyond what the clock can represent is no evidence.
             let confirmed = age
                 .confirmed
                 .and_then(|(a, revision)| Some((revision, sent_at.checked_sub(a)?)));
-            let reached = age.reached.and_then(|a| sent_at.checked_sub(a));
-            let heard = age.heard.and_then(|a| sent_at.checked_sub(a));
+            let store_answered = age.store_answered.and_then(|a| sent_at.checked_sub(a));
+            let last_received = age.last_received.and_then(|a| sent_at.checked_sub(a));
             self.note(
                 &age.region,
                 Evidence {
                     confirmed,
-                    reached,
-                    heard,
+                    store_answered,
+                    last_received,
                     revision: age.revision,
                 },
             );
@@ -188,7 +192,7 @@
     ///
     /// A confirmation of a lower revision proves nothing, because it may come
     /// from a replica of the store that is behind.
-    pub fn hold(&mut self, held: u64) {
+    pub fn update_held_confirmation(&mut self, held: u64) {
         self.covered = self.covered_by(held);
     }
 
@@ -196,7 +200,7 @@
     pub fn ages(&self, now: Instant, held: u64) -> Vec<RegionAges> {
         let mut all = self.regions.clone();
         let own = all.entry(self.region.clone()).or_default();
-        own.heard = Some(now);
+        own.last_received = Some(now);
         own.revision = own.revision.max(held);
         let covered = self.covered_by(held).map(|at| (held, at));
         own.confirmed = own.confirmed.filter(|&(r, _)| r <= held).max(covered);
@@ -210,8 +214,8 @@
                     .confirmed
                     .filter(|&(revision, _)| revision <= held)
                     .map(|(revision, at)| (age(at), revision)),
-                reached: evidence.reached.map(age),
-                heard: evidence.heard.map(age),
+                store_answered: evidence.store_answered.map(age),
+                last_received: evidence.last_received.map(age),
                 revision: evidence.revision,
             })
             .collect()
@@ -247,7 +251,7 @@
         held: u64,
         live_regions: &BTreeSet<RegionName>,
         alone: bool,
-    ) -> Result<Instant, IsolatedCause> {
+    ) -> Result<Instant, IsolationCause> {
         let young = |at: Instant| now.saturating_duration_since(at) <= self.fresh_for;
         // An outage counts from a little before the last confirmation is too
         // old, so that a VM does not refuse requests in between. The eighth
@@ -255,11 +259,13 @@
         let unreached_for = self.fresh_for - self.fresh_for / 8;
         let recent = |at: Instant| now.saturating_duration_since(at) <= unreached_for;
         if held == 0 {
-            return Err(IsolatedCause::Empty);
+            return Err(IsolationCause::Empty);
         }
-        let reached = self.regions.values().filter_map(|e| e.reached);
-        if reached.max().is_some_and(recent) || self.regions.values().any(|e| e.revision > held) {
-            return Err(IsolatedCause::Behind);
+        let store_answered = self.regions.values().filter_map(|e| e.store_answered);
+        if store_answered.max().is_some_and(recent)
+            || self.regions.values().any(|e| e.revision > held)
+        {
+            return Err(IsolationCause::Behind);
         }
         let mut until = now + self.fresh_for;
         if !alone {
@@ -267,13 +273,13 @@
             // would take the cut for an outage of the store.
             match self.replied {
                 Some(at) if young(at) => until = at + self.fresh_for,
-                _ => return Err(IsolatedCause::PeersSilent),
+                _ => return Err(IsolationCause::PeersUnreachable),
             }
         }
         for region in live_regions.iter().filter(|r| **r != self.region) {
-            match self.regions.get(region).and_then(|e| e.heard) {
+            match self.regions.get(region).and_then(|e| e.last_received) {
                 Some(at) if young(at) => until = until.min(at + self.fresh_for),
-                _ => return Err(IsolatedCause::RegionSilent),
+                _ => return Err(IsolationCause::RegionUnreachable),
             }
         }
         Ok(until)
@@ -281,12 +287,12 @@
 
     /// The newest instant at which the store is known to have held nothing
     /// above the held revision.
-    pub fn newest_confirmation(&self) -> Option<Instant> {
+    pub fn held_confirmed_at(&self) -> Option<Instant> {
         self.covered
     }
 
     /// Reports whether every one of `regions` is known to hold `revision`.
-    pub fn all_hold(&self, revision: u64, regions: &BTreeSet<RegionName>) -> bool {
+    pub fn all_regions_hold(&self, revision: u64, regions: &BTreeSet<RegionName>) -> bool {
         regions.iter().all(|region| {
             self.regions
                 .get(region)
@@ -305,8 +311,8 @@
     fn note(&mut self, region: &RegionName, new: Evidence) {
         let evidence = self.regions.entry(region.clone()).or_default();
         evidence.confirmed = evidence.confirmed.max(new.confirmed);
-        evidence.reached = evidence.reached.max(new.reached);
-        evidence.heard = evidence.heard.max(new.heard);
+        evidence.store_answered = evidence.store_answered.max(new.store_answered);
+        evidence.last_received = evidence.last_received.max(new.last_received);
         evidence.revision = evidence.revision.max(new.revision);
     }
 }
--- a/crates/filbertgrade-coord/src/lease.rs
+++ b/crates/filbertgrade-coord/src/lease.rs
@@ -27,22 +27,22 @@
 #[derive(Clone, Debug)]
 pub struct LeaseConfig {
     /// How long others leave an unchanged record alone. Default 10 s.
-    pub duration: Duration,
+    pub takeover_after: Duration,
     /// How long a holder relies on its last write, from its send time. Default 7 s.
     ///
-    /// It must be shorter than `duration` by more than the clocks can differ
+    /// It must be shorter than `takeover_after` by more than the clocks can differ
     /// over one duration; otherwise two holders may act at once.
     pub valid_for: Duration,
     /// Time between a holder's renewals. Default 2 s.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
 }
 
 impl Default for LeaseConfig {
     fn default() -> Self {
         Self {
-            duration: Duration::from_secs(10),
+            takeover_after: Duration::from_secs(10),
             valid_for: Duration::from_secs(7),
-            renew_every: Duration::from_secs(2),
+            renew_interval: Duration::from_secs(2),
         }
     }
 }
@@ -169,7 +169,7 @@
     ///
     /// `stored` is its revision and record, or `None` if it does not exist. A
     /// lower revision than the newest seen is ignored.
-    pub fn observe(&mut self, now: Instant, stored: Option<(u64, LeaseRecord)>) {
+    pub fn record_read(&mut self, now: Instant, stored: Option<(u64, LeaseRecord)>) {
         self.read_at = Some(now);
         if let Some(seen) = &self.seen {
             let old = seen.stored.as_ref().map(|(revision, _)| *revision);
@@ -196,7 +196,7 @@
     }
 
     /// Decides what to do next. A returned write counts as sent at `now`.
-    pub fn next(&mut self, now: Instant) -> LeaseAction {
+    pub fn next_action(&mut self, now: Instant) -> LeaseAction {
         if self.pending.is_some() {
             return LeaseAction::Read;
         }
@@ -208,7 +208,7 @@
         };
         let (revision, token) = (*revision, record.token);
         if let Some(held) = self.held {
-            let renew_at = held.renewed_at + self.cfg.renew_every;
+            let renew_at = held.renewed_at + self.cfg.renew_interval;
             if now < renew_at {
                 return LeaseAction::Wait { until: renew_at };
             }
@@ -220,11 +220,11 @@
             self.held = None;
             return self.write(now, Some(revision), FencingToken(token.0 + 1));
         }
-        let free_at = seen.since + self.cfg.duration;
+        let free_at = seen.since + self.cfg.takeover_after;
         if record.holder.is_some() && now < free_at {
             // Without reads, a candidate that waits does not see renewals, and
             // the lease of a dead holder stays taken for up to two durations.
-            let read_at = self.read_at.unwrap_or(seen.since) + self.cfg.renew_every;
+            let read_at = self.read_at.unwrap_or(seen.since) + self.cfg.renew_interval;
             if read_at <= now {
                 return LeaseAction::Read;
             }
@@ -237,7 +237,7 @@
     /// Gives the lease up, if held: others may take it at once.
     ///
     /// The candidate stops holding it before the write is sent.
-    pub fn yield_now(&mut self, now: Instant) -> Option<LeaseAction> {
+    pub fn release(&mut self, now: Instant) -> Option<LeaseAction> {
         let token = self.held(now)?;
         self.held = None;
         let seen = self.seen.as_ref()?;
@@ -254,7 +254,7 @@
     }
 
     /// Notes that the pending write took effect at `revision`.
-    pub fn written(&mut self, now: Instant, revision: u64) {
+    pub fn record_write(&mut self, now: Instant, revision: u64) {
         if let Some(pending) = self.pending.take() {
             self.take_effect(&pending);
             self.seen = Some(Seen {
@@ -265,7 +265,7 @@
     }
 
     /// Notes that the pending write's condition failed: another candidate was first.
-    pub fn conflicted(&mut self) {
+    pub fn record_conflict(&mut self) {
         self.pending = None;
         self.held = None;
         self.seen = None;
--- a/crates/filbertgrade-coord/src/lib.rs
+++ b/crates/filbertgrade-coord/src/lib.rs
@@ -1,26 +1,30 @@
-//! Coordination parts for a fleet that has a store, and no coordination
-//! service of its own.
+//! Coordination algorithms for a fleet of VMs that share a store but have no
+//! coordination service such as a consensus group.
 //!
-//! Everything here is a plain function of state and `now`: nothing reads a
-//! clock, does I/O or starts a thread. The caller passes the instants at which
-//! messages were sent and received, and carries the messages.
+//! Every result depends only on the state and on the time `now` that is passed
+//! in: nothing in this crate reads a clock, does I/O or starts a thread. The
+//! caller sends and receives the messages, and passes the instants at which
+//! they were sent and received.
 //!
-//! - [`ledger`] keeps a team within its rate and burst over all VMs. It
-//!   stands on [`bucket`], and [`share_table`] divides the limit.
-//! - [`slots`] assigns requests to backend servers, fairly by team.
-//! - [`versioned`] holds a copy of the store that never moves backward,
-//!   [`dissemination`] chooses whom to copy from, and [`freshness`] tells
-//!   whether the copy may be relied on.
-//! - [`lease`] gives one process at a time a task, with a fencing token, and
-//!   [`rendezvous`] divides tasks without agreement.
-//! - [`steering`] decides where one VM sends a request, and when it refuses it,
-//!   without a message to another VM.
-//! - [`weights`] moves traffic between regions in capped steps.
-//! - [`names`] holds the checked names that all of them use.
+//! - [`ledger`] keeps a team within its rate and burst over all VMs. It is built
+//!   on the token buckets of [`bucket`], and [`share_table`] divides the limit
+//!   among the VMs.
+//! - [`slots`] assigns the slots of backend servers to requests, fairly by team.
+//! - [`spill`] limits how many requests leave their region.
+//! - [`versioned`] holds a copy of the store's objects whose revision never
+//!   decreases, [`dissemination`] chooses which peers to copy from, and
+//!   [`freshness`] decides whether the copy is recent enough to be used.
+//! - [`lease`] makes sure that at most one process at a time does a task, and
+//!   gives it a fencing token. [`rendezvous`] divides tasks among processes
+//!   without messages.
+//! - [`steering`] decides on one VM to which endpoint a request is sent, and when
+//!   it is refused, without messages to other VMs.
+//! - [`weights`] moves traffic between regions in steps of limited size.
+//! - [`names`] has the types for validated names that all modules use.
 //!
 //! # Example
 //!
-//! A VM without a share of its own borrows from one that has the whole limit:
+//! A VM whose own share is zero borrows from a VM that has the whole limit:
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -43,7 +47,8 @@
 //! borrower.set_base(start, 1, RateShare::ZERO);
 //! borrower.allow_base(start, 1, start + Duration::from_secs(60));
 //!
-//! // The base opens 2.5 s after the start and fills at 100 tokens a second.
+//! // The base share can be used from 2.5 s after the start, and its bucket
+//! // fills at 100 tokens per second.
 //! let now = start + Duration::from_secs(3);
 //! assert!(matches!(borrower.admit(now), Admission::Wait { .. }));
 //! let request = borrower.request_loan(now).expect("a request is waiting");
--- a/crates/filbertgrade-coord/src/names.rs
+++ b/crates/filbertgrade-coord/src/names.rs
@@ -1,12 +1,17 @@
-//! Checked names that are cheap to clone.
+//! Validated names of VMs, regions, teams and other objects.
+//!
+//! A name consists of `a` to `z`, `0` to `9` and `-`, so it can be part of a
+//! header, a path or a log line without escaping. Names are reference counted
+//! and therefore cheap to clone.
 
 use std::borrow::Borrow;
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest accepted name in bytes, the limit of a DNS label.
+/// Length limit of a name in bytes, which is that of a DNS label.
 pub const MAX_NAME_LEN: usize = 63;
 
+/// Defines a newtype for one kind of name, which can only hold a valid name.
 macro_rules! name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -24,7 +29,7 @@
             type Error = NameError;
 
             fn try_from(s: &str) -> Result<Self, NameError> {
-                check(s)?;
+                validate(s)?;
                 Ok(Self(Arc::from(s)))
             }
         }
@@ -64,7 +69,7 @@
 }
 
 name!(
-    /// Name of an entry VM, unique in the fleet.
+    /// Name of a VM that runs an entry process, unique in the fleet.
     VmName
 );
 name!(
@@ -80,7 +85,7 @@
     TeamName
 );
 name!(
-    /// Name of one backend server endpoint, unique in its service and region.
+    /// Name of an endpoint of a backend server, unique in its service and region.
     EndpointName
 );
 name!(
@@ -92,7 +97,7 @@
     RouteName
 );
 
-/// The error of a string that is not a valid name.
+/// The error returned for a string that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(transparent)]
 pub struct NameError(NameErrorKind);
@@ -101,20 +106,20 @@
 enum NameErrorKind {
     #[error("a name must not be empty")]
     Empty,
-    #[error("a name of {0} bytes is longer than {MAX_NAME_LEN}")]
+    #[error("a name of {0} bytes is longer than the limit of {MAX_NAME_LEN} bytes")]
     TooLong(usize),
-    #[error("character {0:?} is not one of a-z, 0-9 and '-'")]
-    BadCharacter(char),
+    #[error("a name must not contain {0:?}, only a-z, 0-9 and '-'")]
+    InvalidCharacter(char),
 }
 
 impl NameError {
-    /// Reports whether the string had no or too many characters.
-    pub fn is_length(&self) -> bool {
+    /// Reports whether the string was empty or longer than [`MAX_NAME_LEN`].
+    pub fn is_length_error(&self) -> bool {
         matches!(self.0, NameErrorKind::Empty | NameErrorKind::TooLong(_))
     }
 }
 
-fn check(s: &str) -> Result<(), NameError> {
+fn validate(s: &str) -> Result<(), NameError> {
     if s.is_empty() {
         return Err(NameError(NameErrorKind::Empty));
     }
@@ -125,7 +130,7 @@
         .chars()
         .find(|c| !matches!(c, 'a'..='z' | '0'..='9' | '-'))
     {
-        Some(c) => Err(NameError(NameErrorKind::BadCharacter(c))),
+        Some(c) => Err(NameError(NameErrorKind::InvalidCharacter(c))),
         None => Ok(()),
     }
 }
--- a/crates/filbertgrade-coord/src/rendezvous.rs
+++ b/crates/filbertgrade-coord/src/rendezvous.rs
@@ -1,7 +1,10 @@
-//! Rendezvous hashing: every process that knows the same nodes picks the same owner.
+//! Rendezvous hashing: all processes with the same list of nodes choose the
+//! same owner for a key, without exchanging messages.
 //!
-//! The hash is xxh3 with 64 bits, which is the same on every machine and in
-//! every build. When a node leaves, only the keys that it owned move.
+//! Each node gets a score for the key, and the node with the highest score owns
+//! it. When a node leaves, only the keys that it owned get another owner. The
+//! hash function is 64-bit xxh3, whose results are the same on every machine
+//! and in every build.
 
 use std::cmp::Reverse;
 
@@ -17,9 +20,10 @@
         .map(|(_, node)| node)
 }
 
-/// Returns the `count` highest nodes for `key`, the highest first.
+/// Returns the `count` nodes with the highest scores for `key`, highest first,
+/// or all nodes if there are fewer.
 ///
-/// The first of them is the [`owner`]. Nodes with equal scores are ordered by name.
+/// The first one is the [`owner`]. Nodes with equal scores are ordered by name.
 pub fn top<N: AsRef<str>>(key: &str, nodes: impl IntoIterator<Item = N>, count: usize) -> Vec<N> {
     let seed = xxh3_64(key.as_bytes());
     let mut scored: Vec<(u64, N)> = nodes
@@ -38,7 +42,10 @@
         .collect()
 }
 
-/// The score of `node` under `seed`; used with other seeds for random choices.
+/// Returns the score of `node` under `seed`.
+///
+/// For ownership, the seed is the hash of the key. With other seeds, the score
+/// serves as a reproducible pseudo-random number.
 pub(crate) fn score(seed: u64, node: &str) -> u64 {
     xxh3_64_with_seed(node.as_bytes(), seed)
 }
--- a/crates/filbertgrade-coord/src/versioned.rs
+++ b/crates/filbertgrade-coord/src/versioned.rs
@@ -63,7 +63,7 @@
 
 /// What applying a delta or snapshot did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The map moved forward. The names were written or removed.
     Advanced(Vec<Arc<str>>),
     /// The map was at this revision or above, and did not change.
@@ -78,7 +78,7 @@
 
 /// What brings a copy at some revision up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Catchup<V> {
+pub enum CatchUp<V> {
     /// The copy is at the map's revision or above.
     UpToDate,
     /// The changes that are missing.
@@ -90,7 +90,7 @@
 /// The error of a delta or snapshot that contradicts itself.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("object {name:?} has revision {revision}, outside {from} to {to}")]
-pub struct MalformedError {
+pub struct MalformedUpdateError {
     name: Arc<str>,
     revision: u64,
     from: u64,
@@ -158,10 +158,10 @@
     /// # Errors
     ///
     /// Fails without effect if a change is outside the delta's revisions.
-    pub fn apply_delta(&mut self, delta: Delta<V>) -> Result<Applied, MalformedError> {
+    pub fn apply_delta(&mut self, delta: Delta<V>) -> Result<ApplyOutcome, MalformedUpdateError> {
         for change in &delta.changes {
             if change.revision <= delta.from || change.revision > delta.to {
-                return Err(MalformedError {
+                return Err(MalformedUpdateError {
                     name: change.name.clone(),
                     revision: change.revision,
                     from: delta.from,
@@ -170,10 +170,10 @@
             }
         }
         if delta.to <= self.revision {
-            return Ok(Applied::Stale);
+            return Ok(ApplyOutcome::Stale);
         }
         if delta.from > self.revision {
-            return Ok(Applied::Gap {
+            return Ok(ApplyOutcome::Gap {
                 have: self.revision,
             });
         }
@@ -200,7 +200,7 @@
         }
         self.revision = delta.to;
         self.trim_log();
-        Ok(Applied::Advanced(names.into_iter().collect()))
+        Ok(ApplyOutcome::Advanced(names.into_iter().collect()))
     }
 
     /// Replaces the whole map if the snapshot is newer.
@@ -210,10 +210,13 @@
     /// # Errors
     ///
     /// Fails without effect if an entry is newer than the snapshot itself.
-    pub fn apply_snapshot(&mut self, snapshot: Snapshot<V>) -> Result<Applied, MalformedError> {
+    pub fn apply_snapshot(
+        &mut self,
+        snapshot: Snapshot<V>,
+    ) -> Result<ApplyOutcome, MalformedUpdateError> {
         for (name, entry) in &snapshot.entries {
             if entry.revision > snapshot.revision {
-                return Err(MalformedError {
+                return Err(MalformedUpdateError {
                     name: name.clone(),
                     revision: entry.revision,
                     from: 0,
@@ -222,7 +225,7 @@
             }
         }
         if snapshot.revision <= self.revision {
-            return Ok(Applied::Stale);
+            return Ok(ApplyOutcome::Stale);
         }
         let new: BTreeMap<_, _> = snapshot.entries.into_iter().collect();
         let removed = self.entries.keys().filter(|name| !new.contains_key(*name));
@@ -235,16 +238,16 @@
         self.revision = snapshot.revision;
         self.log.clear();
         self.log_floor = snapshot.revision;
-        Ok(Applied::Advanced(names.into_iter().collect()))
+        Ok(ApplyOutcome::Advanced(names.into_iter().collect()))
     }
 
     /// What a copy at `revision` needs to reach this map's revision.
-    pub fn delta_since(&self, revision: u64) -> Catchup<V> {
+    pub fn catch_up_from(&self, revision: u64) -> CatchUp<V> {
         if revision >= self.revision {
-            return Catchup::UpToDate;
+            return CatchUp::UpToDate;
         }
         if revision < self.log_floor {
-            return Catchup::SnapshotNeeded;
+            return CatchUp::SnapshotNeeded;
         }
         // Only the newest change of each name matters to the copy.
         let mut newest: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
@@ -260,7 +263,7 @@
             })
             .collect();
         changes.sort_by_key(|c| c.revision);
-        Catchup::Delta(Delta {
+        CatchUp::Delta(Delta {
             from: revision,
             to: self.revision,
             changes,
--- a/crates/filbertgrade-coord/tests/basics.rs
+++ b/crates/filbertgrade-coord/tests/basics.rs
@@ -7,8 +7,8 @@
 
 use filbertgrade_coord::bucket::{RateShare, TokenBucket};
 use filbertgrade_coord::dissemination::{
-    Member, NEIGHBOURS_PER_TIER, POLL_AFTER, StorePoll, is_relay, neighbours, pull_peers,
-    store_poll,
+    Member, NEIGHBOURS_PER_TIER, POLL_DELAY, StorePoll, is_relay, neighbours, next_store_poll,
+    pull_peers,
 };
 use filbertgrade_coord::names::{FailureDomainName, RegionName, TeamName, VmName};
 use filbertgrade_coord::rendezvous::{owner, top};
@@ -225,7 +225,7 @@
 fn store_polls_are_jittered_and_back_off() {
     let now = Instant::now();
     let polls: Vec<_> = (0..50)
-        .map(|seed| store_poll(now, None, seed, now))
+        .map(|seed| next_store_poll(now, None, seed, now))
         .collect();
     let at = |poll: &StorePoll| match poll {
         StorePoll::At(at) => at.duration_since(now),
@@ -234,7 +234,7 @@
     assert!(
         polls
             .iter()
-            .all(|p| at(p) >= POLL_AFTER && at(p) <= POLL_AFTER + Duration::from_millis(500))
+            .all(|p| at(p) >= POLL_DELAY && at(p) <= POLL_DELAY + Duration::from_millis(500))
     );
     assert!(
         polls
@@ -244,11 +244,11 @@
             .any(|w| w[0] != w[1])
     );
     assert_eq!(
-        store_poll(now, None, 1, now + Duration::from_secs(3)),
+        next_store_poll(now, None, 1, now + Duration::from_secs(3)),
         StorePoll::Now
     );
     for n in 1..40 {
-        let pause = at(&store_poll(now, Some((now, n)), 1, now));
+        let pause = at(&next_store_poll(now, Some((now, n)), 1, now));
         assert!(pause >= Duration::from_millis(500) && pause <= Duration::from_secs(8));
     }
 }
--- a/crates/filbertgrade-coord/tests/state.rs
+++ b/crates/filbertgrade-coord/tests/state.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::freshness::{Freshness, FreshnessTracker, IsolatedCause};
+use filbertgrade_coord::freshness::{Freshness, FreshnessTracker, IsolationCause};
 use filbertgrade_coord::lease::{FencingToken, Lease, LeaseAction, LeaseConfig, LeaseRecord};
 use filbertgrade_coord::names::{RegionName, VmName};
 use filbertgrade_coord::versioned::{
-    Applied, Catchup, Change, Delta, Entry, Snapshot, VersionedMap,
+    ApplyOutcome, CatchUp, Change, Delta, Entry, Snapshot, VersionedMap,
 };
 use proptest::prelude::{ProptestConfig, prop_assert, prop_assert_eq, proptest};
 use rstest::rstest;
@@ -33,21 +33,25 @@
 fn versioned_map_never_goes_backward() {
     let mut map = VersionedMap::new(10);
     let gap = map.apply_delta(delta(3, 5, &[("a", 4, Some(1))]));
-    assert_eq!(gap, Ok(Applied::Gap { have: 0 }));
+    assert_eq!(gap, Ok(ApplyOutcome::Gap { have: 0 }));
     let first = delta(0, 5, &[("a", 2, Some(1)), ("b", 5, Some(2))]);
-    assert!(matches!(map.apply_delta(first), Ok(Applied::Advanced(names)) if names.len() == 2));
+    assert!(
+        matches!(map.apply_delta(first), Ok(ApplyOutcome::Advanced(names)) if names.len() == 2)
+    );
     assert_eq!(
         map.apply_delta(delta(0, 4, &[("a", 1, Some(9))])),
-        Ok(Applied::Stale)
+        Ok(ApplyOutcome::Stale)
     );
     let old = Snapshot {
         revision: 4,
         entries: vec![],
     };
-    assert_eq!(map.apply_snapshot(old), Ok(Applied::Stale));
+    assert_eq!(map.apply_snapshot(old), Ok(ApplyOutcome::Stale));
     // An overlapping delta must not bring back the older value of a name.
     let overlap = delta(1, 7, &[("a", 2, Some(8)), ("b", 7, None)]);
-    assert!(matches!(map.apply_delta(overlap), Ok(Applied::Advanced(names)) if names.len() == 1));
+    assert!(
+        matches!(map.apply_delta(overlap), Ok(ApplyOutcome::Advanced(names)) if names.len() == 1)
+    );
     assert_eq!(
         (map.get("a").unwrap().value, map.get("b"), map.revision()),
         (1, None, 7)
@@ -67,15 +71,15 @@
 }
 
 fn catch_up(from: &VersionedMap<u32>, to: &mut VersionedMap<u32>, log_limit: usize) {
-    match from.delta_since(to.revision()) {
-        Catchup::Delta(delta) => {
+    match from.catch_up_from(to.revision()) {
+        CatchUp::Delta(delta) => {
             assert!(delta.changes.len() <= log_limit);
             to.apply_delta(delta).unwrap();
         }
-        Catchup::SnapshotNeeded => {
+        CatchUp::SnapshotNeeded => {
             to.apply_snapshot(from.snapshot()).unwrap();
         }
-        Catchup::UpToDate => {}
+        CatchUp::UpToDate => {}
     }
 }
 
@@ -135,11 +139,11 @@
         Freshness::StoreOutage { until } => {
             format!("outage {}", until.duration_since(start).as_millis())
         }
-        Freshness::Isolated(IsolatedCause::Behind) => "behind".to_owned(),
-        Freshness::Isolated(IsolatedCause::RegionSilent | IsolatedCause::PeersSilent) => {
-            "silent".to_owned()
-        }
-        Freshness::Isolated(IsolatedCause::Empty) => "empty".to_owned(),
+        Freshness::Isolated(IsolationCause::Behind) => "behind".to_owned(),
+        Freshness::Isolated(
+            IsolationCause::RegionUnreachable | IsolationCause::PeersUnreachable,
+        ) => "silent".to_owned(),
+        Freshness::Isolated(IsolationCause::Empty) => "empty".to_owned(),
     }
 }
 
@@ -170,13 +174,13 @@
         for &(name, confirmed, heard, revision) in words {
             let mut other = FreshnessTracker::new(region(name));
             if let Some((millis, revision)) = confirmed {
-                other.confirm(at(millis), revision);
+                other.record_confirmation(at(millis), revision);
             }
-            other.hear(at(heard), &region(name), revision);
+            other.record_reply(at(heard), &region(name), revision);
             // The own region counts as heard whenever it reports, so the
             // report is dated back to its word.
             let sent_at = at(heard);
-            tracker.absorb(sent_at, &other.ages(sent_at, revision));
+            tracker.record_ages(sent_at, &other.ages(sent_at, revision));
         }
     });
     assert_eq!(direct, expected);
@@ -187,11 +191,11 @@
 fn relayed_evidence_is_never_younger_than_its_source() {
     let passed_on = conclude(|tracker, at| {
         let mut first = FreshnessTracker::new(region("b"));
-        first.confirm(at(16_700), 5);
+        first.record_confirmation(at(16_700), 5);
         let mut second = FreshnessTracker::new(region("c"));
         // The reply takes 300 ms, and its ages count from the send time.
-        second.absorb(at(17_000), &first.ages(at(17_300), 5));
-        tracker.absorb(at(18_000), &second.ages(at(18_300), 5));
+        second.record_ages(at(17_000), &first.ages(at(17_300), 5));
+        tracker.record_ages(at(18_000), &second.ages(at(18_300), 5));
     });
     // 16.7 s less two delays of 300 ms, plus 5 s.
     assert_eq!(passed_on, "fresh 21100");
@@ -210,29 +214,29 @@
     };
     assert_eq!(
         state(&tracker, 0, 0, true),
-        Freshness::Isolated(IsolatedCause::Empty)
+        Freshness::Isolated(IsolationCause::Empty)
     );
-    tracker.confirm(at(0), 5);
-    tracker.hold(5);
-    tracker.confirm(at(1_000), 6);
+    tracker.record_confirmation(at(0), 5);
+    tracker.update_held_confirmation(5);
+    tracker.record_confirmation(at(1_000), 6);
     let until = at(5_000);
     assert_eq!(state(&tracker, 5_000, 5, false), Freshness::Fresh { until });
-    let behind = Freshness::Isolated(IsolatedCause::Behind);
+    let behind = Freshness::Isolated(IsolationCause::Behind);
     assert_eq!(state(&tracker, 5_001, 5, false), behind);
-    tracker.hold(6);
-    let silent = Freshness::Isolated(IsolatedCause::PeersSilent);
+    tracker.update_held_confirmation(6);
+    let silent = Freshness::Isolated(IsolationCause::PeersUnreachable);
     assert_eq!(state(&tracker, 7_000, 6, false), silent);
     assert!(matches!(
         state(&tracker, 7_000, 6, true),
         Freshness::StoreOutage { .. }
     ));
-    tracker.hear(at(7_000), &region("a"), 6);
+    tracker.record_reply(at(7_000), &region("a"), 6);
     let until = at(12_000);
     assert_eq!(
         state(&tracker, 8_000, 6, false),
         Freshness::StoreOutage { until }
     );
-    tracker.exists(7);
+    tracker.record_known_revision(7);
     assert_eq!(state(&tracker, 8_000, 6, false), behind);
 }
 
@@ -275,35 +279,35 @@
         record: None,
     };
     let (mut a, mut b) = (candidate("a"), candidate("b"));
-    assert_eq!(a.next(at(0)), LeaseAction::Read);
-    a.observe(at(0), store.read());
-    b.observe(at(0), store.read());
-    let (from_a, from_b) = (a.next(at(0)), b.next(at(0)));
-    a.written(at(1), store.write(&from_a).unwrap());
+    assert_eq!(a.next_action(at(0)), LeaseAction::Read);
+    a.record_read(at(0), store.read());
+    b.record_read(at(0), store.read());
+    let (from_a, from_b) = (a.next_action(at(0)), b.next_action(at(0)));
+    a.record_write(at(1), store.write(&from_a).unwrap());
     assert_eq!(store.write(&from_b), None);
-    b.conflicted();
+    b.record_conflict();
     let first = a.held(at(1)).unwrap();
     // The validity counts from the send time at 0 s.
     assert_eq!((a.held(at(6)), a.held(at(7))), (Some(first), None));
-    b.observe(at(1), store.read());
+    b.record_read(at(1), store.read());
     // Reads that show no renewal do not put the take-over off.
-    assert_eq!(b.next(at(2)), LeaseAction::Wait { until: at(3) });
-    assert_eq!(b.next(at(10)), LeaseAction::Read);
-    b.observe(at(10), store.read());
-    assert_eq!(b.next(at(10)), LeaseAction::Wait { until: at(11) });
-    let take_over = b.next(at(11));
-    b.written(at(11), store.write(&take_over).unwrap());
+    assert_eq!(b.next_action(at(2)), LeaseAction::Wait { until: at(3) });
+    assert_eq!(b.next_action(at(10)), LeaseAction::Read);
+    b.record_read(at(10), store.read());
+    assert_eq!(b.next_action(at(10)), LeaseAction::Wait { until: at(11) });
+    let take_over = b.next_action(at(11));
+    b.record_write(at(11), store.write(&take_over).unwrap());
     let second = b.held(at(11)).unwrap();
     assert!(first < second && first.check(second).is_err() && second.check(first).is_ok());
     // The paused holder wakes, does not hold the lease, and its write conflicts.
     // It would be for a higher token, since its old decisions must not continue.
     assert_eq!(a.held(at(12)), None);
-    let late = a.next(at(12));
+    let late = a.next_action(at(12));
     assert!(matches!(&late, LeaseAction::Write { record, .. } if record.token > first));
     assert_eq!(store.write(&late), None);
-    a.conflicted();
-    a.observe(at(12), store.read());
-    assert!(matches!(a.next(at(12)), LeaseAction::Wait { .. }));
+    a.record_conflict();
+    a.record_read(at(12), store.read());
+    assert!(matches!(a.next_action(at(12)), LeaseAction::Wait { .. }));
 }
 
 // Guards against a holder that loses its lease because an answer was lost, and
@@ -318,13 +322,13 @@
         record: None,
     };
     let mut a = candidate("a");
-    a.observe(start, store.read());
-    let action = a.next(start);
+    a.record_read(start, store.read());
+    let action = a.next_action(start);
     if took_effect {
         store.write(&action).unwrap();
     }
-    assert_eq!(a.next(start), LeaseAction::Read);
-    a.observe(start, store.read());
+    assert_eq!(a.next_action(start), LeaseAction::Read);
+    a.record_read(start, store.read());
     assert_eq!(a.held(start).is_some(), took_effect);
 }
 
@@ -337,15 +341,15 @@
         record: None,
     };
     let (mut a, mut b) = (candidate("a"), candidate("b"));
-    a.observe(start, store.read());
-    let acquire = a.next(start);
-    a.written(start, store.write(&acquire).unwrap());
-    let give_up = a.yield_now(start).unwrap();
+    a.record_read(start, store.read());
+    let acquire = a.next_action(start);
+    a.record_write(start, store.write(&acquire).unwrap());
+    let give_up = a.release(start).unwrap();
     assert_eq!(a.held(start), None);
     store.write(&give_up).unwrap();
-    b.observe(start, store.read());
-    let take = b.next(start);
-    b.written(start, store.write(&take).unwrap());
+    b.record_read(start, store.read());
+    let take = b.next_action(start);
+    b.record_write(start, store.write(&take).unwrap());
     assert_eq!(b.held(start), Some(FencingToken::new(2)));
 }
 
@@ -359,10 +363,10 @@
         record: None,
     };
     let mut a = candidate("a");
-    a.observe(start, store.read());
+    a.record_read(start, store.read());
     for secs in 0..60 {
-        if let action @ LeaseAction::Write { .. } = a.next(at(secs)) {
-            a.written(at(secs), store.write(&action).unwrap());
+        if let action @ LeaseAction::Write { .. } = a.next_action(at(secs)) {
+            a.record_write(at(secs), store.write(&action).unwrap());
         }
         assert_eq!(a.held(at(secs)), Some(FencingToken::new(1)));
     }
@@ -387,19 +391,19 @@
             let lease = &mut candidates[i];
             match op {
                 0 | 1 => now += Duration::from_millis(millis),
-                2 => lease.observe(now, store.read()),
+                2 => lease.record_read(now, store.read()),
                 3 if !late.is_empty() => {
                     let write: LeaseAction = late.remove(i % late.len());
                     store.write(&write);
                 }
-                4 if millis < 400 => late.extend(lease.yield_now(now)),
-                _ => match lease.next(now) {
-                    LeaseAction::Read => lease.observe(now, store.read()),
+                4 if millis < 400 => late.extend(lease.release(now)),
+                _ => match lease.next_action(now) {
+                    LeaseAction::Read => lease.record_read(now, store.read()),
                     write @ LeaseAction::Write { .. } if op == 5 => late.push(write),
                     write @ LeaseAction::Write { .. } => match store.write(&write) {
-                        Some(revision) if op == 6 => lease.written(now, revision),
+                        Some(revision) if op == 6 => lease.record_write(now, revision),
                         Some(_) => {}
-                        None => lease.conflicted(),
+                        None => lease.record_conflict(),
                     },
                     LeaseAction::Wait { .. } => {}
                 },
--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -99,7 +99,7 @@
 
     async fn follow_lease(&mut self) {
         let now = Instant::now();
-        let result = match self.lease.next(now) {
+        let result = match self.lease.next_action(now) {
             LeaseAction::Wait { .. } if self.lease.held(now).is_some() => Ok(()),
             LeaseAction::Wait { .. }
                 if self.lease_read_at.is_some_and(|at| now < at + LEASE_READ) =>
@@ -123,7 +123,7 @@
         self.absent_since.clear();
         self.table_since = None;
         self.step_since = None;
-        let Some(LeaseAction::Write { expected, record }) = self.lease.yield_now(Instant::now())
+        let Some(LeaseAction::Write { expected, record }) = self.lease.release(Instant::now())
         else {
             return;
         };
@@ -136,7 +136,7 @@
         }
         // Whatever became of this write and of a renewal before it, only a
         // new read tells the present record.
-        self.lease.conflicted();
+        self.lease.record_conflict();
     }
 
     async fn read_lease(&mut self) -> Result<(), PlatformError> {
@@ -146,7 +146,7 @@
             let file: LeaseFile = serde_json::from_slice(object.value.as_deref()?).ok()?;
             Some((object.revision, LeaseRecord::try_from(file).ok()?))
         });
-        self.lease.observe(Instant::now(), stored);
+        self.lease.record_read(Instant::now(), stored);
         Ok(())
     }
 
@@ -161,14 +161,14 @@
         match written.await {
             Ok(revision) => {
                 let held = self.lease.held(Instant::now()).is_some();
-                self.lease.written(Instant::now(), revision);
+                self.lease.record_write(Instant::now(), revision);
                 if !held {
                     log::info!("event=lease_acquired token={}", record.token.get());
                 }
                 Ok(())
             }
             Err(error) if error.is_conflict() => {
-                self.lease.conflicted();
+                self.lease.record_conflict();
                 Ok(())
             }
             Err(error) => Err(error),
--- a/crates/filbertgrade/src/process/agent/dump.rs
+++ b/crates/filbertgrade/src/process/agent/dump.rs
@@ -60,7 +60,7 @@
             "region": ages.region.as_str(),
             "confirmed_ms_ago": ages.confirmed.map(|(age, _)| millis(age)),
             "confirmed_revision": ages.confirmed.map(|(_, revision)| revision),
-            "heard_ms_ago": ages.heard.map(millis),
+            "heard_ms_ago": ages.last_received.map(millis),
             "revision": ages.revision,
         })
     });
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -16,7 +16,7 @@
 use filbertgrade_coord::dissemination::{self, Member};
 use filbertgrade_coord::freshness::FreshnessTracker;
 use filbertgrade_coord::names::{RegionName, VmName};
-use filbertgrade_coord::versioned::{Applied, MalformedError, VersionedMap};
+use filbertgrade_coord::versioned::{ApplyOutcome, MalformedUpdateError, VersionedMap};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
@@ -163,18 +163,18 @@
     /// Changes the object map and wakes those that wait for a newer revision.
     pub(crate) fn advance(
         &self,
-        apply: impl FnOnce(&mut VersionedMap<Bytes>) -> Result<Applied, MalformedError>,
-    ) -> Result<Applied, MalformedError> {
+        apply: impl FnOnce(&mut VersionedMap<Bytes>) -> Result<ApplyOutcome, MalformedUpdateError>,
+    ) -> Result<ApplyOutcome, MalformedUpdateError> {
         let mut state = self.state();
         let applied = apply(&mut state.objects)?;
-        if let Applied::Advanced(names) = &applied {
+        if let ApplyOutcome::Advanced(names) = &applied {
             if names.iter().any(|name| name.starts_with("vms/")) {
                 state.vms = listed_vms(&state.objects);
                 state.place = Place::find(&self.me(), &state.vms);
             }
             state.held_since.get_or_insert_with(Instant::now);
             let held = state.objects.revision();
-            state.freshness.hold(held);
+            state.freshness.update_held_confirmation(held);
             self.revision.send_replace(held);
         }
         Ok(applied)
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -55,7 +55,7 @@
     let now = Instant::now();
     let valid = if state.objects.revision() < hello.revision {
         // This agent was restarted and has not caught up with its entry.
-        state.freshness.exists(hello.revision);
+        state.freshness.record_known_revision(hello.revision);
         None
     } else {
         // The entry counts the validity from its request.
@@ -151,10 +151,10 @@
         Self {
             region: ages.region.to_string(),
             confirmed_age_ms: ages.confirmed.map(|(age, _)| millis(age)),
-            heard_age_ms: ages.heard.map(millis),
+            heard_age_ms: ages.last_received.map(millis),
             revision: ages.revision,
             confirmed_revision: ages.confirmed.map_or(0, |(_, revision)| revision),
-            reached_age_ms: ages.reached.map(millis),
+            reached_age_ms: ages.store_answered.map(millis),
         }
     }
 }
@@ -171,8 +171,8 @@
             confirmed: evidence
                 .confirmed_age_ms
                 .map(|ms| (age(ms), evidence.confirmed_revision)),
-            reached: evidence.reached_age_ms.map(age),
-            heard: evidence.heard_age_ms.map(age),
+            store_answered: evidence.reached_age_ms.map(age),
+            last_received: evidence.heard_age_ms.map(age),
             revision: evidence.revision,
         })
     }
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -141,10 +141,12 @@
         .filter_map(|evidence| evidence.try_into().ok())
         .collect();
     let mut state = agent.state();
-    state.freshness.hear(sent, &peer.region, reply.revision);
-    state.freshness.absorb(sent, &ages);
+    state
+        .freshness
+        .record_reply(sent, &peer.region, reply.revision);
+    state.freshness.record_ages(sent, &ages);
     let held = state.objects.revision();
-    state.freshness.hold(held);
+    state.freshness.update_held_confirmation(held);
 }
 
 fn take_page(
--- a/crates/filbertgrade/src/process/agent/store.rs
+++ b/crates/filbertgrade/src/process/agent/store.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::dissemination::{POLL_AFTER, StorePoll, store_poll};
-use filbertgrade_coord::versioned::Applied;
+use filbertgrade_coord::dissemination::{POLL_DELAY, StorePoll, next_store_poll};
+use filbertgrade_coord::versioned::ApplyOutcome;
 
 use super::Agent;
 use crate::logfmt;
@@ -101,10 +101,10 @@
     if state.vms.is_empty() || state.place.relay {
         return Step::Watch;
     }
-    let confirmed_at = state.freshness.newest_confirmation().unwrap_or(started);
-    let confirmed = now.saturating_duration_since(confirmed_at) < POLL_AFTER;
+    let confirmed_at = state.freshness.held_confirmed_at().unwrap_or(started);
+    let confirmed = now.saturating_duration_since(confirmed_at) < POLL_DELAY;
     let seed = xxhash_rust::xxh3::xxh3_64(agent.settings.vm.as_str().as_bytes());
-    match store_poll(confirmed_at, polled.filter(|_| !confirmed), seed, now) {
+    match next_store_poll(confirmed_at, polled.filter(|_| !confirmed), seed, now) {
         StorePoll::Now => Step::Poll,
         StorePoll::At(_) => Step::Rest { confirmed },
     }
@@ -146,7 +146,7 @@
 
 fn take_changes(agent: &Agent, changes: Changes, held: Revision) {
     match agent.advance(|objects| objects.apply_delta(changes.into_delta(held))) {
-        Ok(Applied::Advanced(names)) if !names.is_empty() => {
+        Ok(ApplyOutcome::Advanced(names)) if !names.is_empty() => {
             log::info!(
                 "event=store_changed revision={} objects={}",
                 *agent.revision.borrow(),
@@ -160,7 +160,7 @@
 
 fn confirm_at(agent: &Agent, sent: Instant, revision: Revision) {
     let mut state = agent.state();
-    state.freshness.confirm(sent, revision);
+    state.freshness.record_confirmation(sent, revision);
     let held = state.objects.revision();
-    state.freshness.hold(held);
+    state.freshness.update_held_confirmation(held);
 }
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_coord::versioned::{Applied, VersionedMap};
+use filbertgrade_coord::versioned::{ApplyOutcome, VersionedMap};
 
 use super::Entry;
 use crate::connection::PeerLink;
@@ -56,8 +56,8 @@
 ) {
     match feed.delta.map(|page| incoming.take(page)) {
         Some(Ok(Some(delta))) => match crate::version::apply_delta(objects, delta) {
-            Ok(Applied::Advanced(names)) => put_in_force(entry, objects, &names),
-            Ok(Applied::Stale | Applied::Gap { .. }) => {}
+            Ok(ApplyOutcome::Advanced(names)) => put_in_force(entry, objects, &names),
+            Ok(ApplyOutcome::Stale | ApplyOutcome::Gap { .. }) => {}
             Err(error) => log::warn!("event=feed_rejected error={}", logfmt::value(&error)),
         },
         Some(Err(error)) => log::warn!("event=feed_rejected error={}", logfmt::value(&error)),
--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use filbertgrade_coord::versioned::{
-    Applied, Catchup, Change, Delta, Entry, MalformedError, Snapshot, VersionedMap,
+    ApplyOutcome, CatchUp, Change, Delta, Entry, MalformedUpdateError, Snapshot, VersionedMap,
 };
 
 use crate::platform::{Changes, Revision};
@@ -179,10 +179,10 @@
 
 /// What a copy at `revision` lacks; `None` when it is up to date.
 fn delta_for(objects: &VersionedMap<Bytes>, revision: Revision) -> Option<wire::Delta> {
-    match objects.delta_since(revision) {
-        Catchup::UpToDate => None,
-        Catchup::Delta(delta) => Some(delta.into()),
-        Catchup::SnapshotNeeded => Some(objects.snapshot().into()),
+    match objects.catch_up_from(revision) {
+        CatchUp::UpToDate => None,
+        CatchUp::Delta(delta) => Some(delta.into()),
+        CatchUp::SnapshotNeeded => Some(objects.snapshot().into()),
     }
 }
 
@@ -194,7 +194,7 @@
 pub(crate) fn apply_delta(
     objects: &mut VersionedMap<Bytes>,
     delta: wire::Delta,
-) -> Result<Applied, MalformedError> {
+) -> Result<ApplyOutcome, MalformedUpdateError> {
     if delta.snapshot {
         objects.apply_snapshot(delta.into())
     } else {
