--- a/crates/filbertgrade/src/process/node/responses.rs
+++ b/crates/filbertgrade/src/process/node/responses.rs
@@ -76,7 +76,7 @@
 /// Returns a backend server's response whose body has been buffered completely.
 pub(super) fn buffered(mut parts: response::Parts, body: Bytes) -> Response<Body> {
     prepare_headers(&mut parts.headers);
-    // The length is known from the buffered body.
+    // hyper sets this header anew from the length of the buffered body.
     parts.headers.remove(CONTENT_LENGTH);
     let body = Full::new(body).map_err(|never| match never {});
     Response::from_parts(parts, body.boxed_unsync())
