--- a/crates/filbertgrade-coord/src/lease.rs
+++ b/crates/filbertgrade-coord/src/lease.rs
@@ -1,39 +1,44 @@
-//! A lease that is stored as an object with conditional updates.
+//! A lease in a store object that is written by conditional updates.
 //!
-//! The stored record carries a duration and no time of day. A candidate takes
-//! the lease over when the record has not changed for that duration by the
-//! candidate's own clock, and the holder stops earlier by its own clock.
+//! The candidates for the lease need not agree on the time of day. A candidate
+//! takes the lease over when the stored record has not changed for
+//! [`LeaseConfig::takeover_after`] by the candidate's own clock. The holder
+//! renews the lease by writing the record again, and it stops relying on a
+//! write after the shorter [`LeaseConfig::valid_for`] by its own clock.
 
 use std::time::{Duration, Instant};
 
 use crate::names::VmName;
 
-/// One candidate's view of a lease, and its decisions.
+/// The state of one candidate for a lease, which decides its reads and writes.
 #[derive(Clone, Debug)]
 pub struct Lease {
-    me: VmName,
+    vm: VmName,
     incarnation: u64,
-    cfg: LeaseConfig,
-    seen: Option<Seen>,
-    /// When the object was last read.
+    config: LeaseConfig,
+    observed: Option<ObservedRecord>,
+    /// When the last read of the object was recorded.
     read_at: Option<Instant>,
-    /// The write whose outcome is not known.
-    pending: Option<Pending>,
-    held: Option<Held>,
-    writes: u64,
+    /// The write that was sent and whose outcome is not known yet.
+    pending: Option<PendingWrite>,
+    held: Option<HeldLease>,
+    write_count: u64,
 }
 
-/// Settings of a [`Lease`]; they must be the same for all candidates.
+/// Settings of a [`Lease`], which must be the same for all candidates.
 #[derive(Clone, Debug)]
 pub struct LeaseConfig {
-    /// How long others leave an unchanged record alone. Default 10 s.
+    /// Time for which the record must be unchanged before another candidate takes
+    /// the lease over. Default 10 s.
     pub takeover_after: Duration,
-    /// How long a holder relies on its last write, from its send time. Default 7 s.
+    /// Time for which a holder relies on its last write, counted from when it sent
+    /// the write. Default 7 s.
     ///
-    /// It must be shorter than `takeover_after` by more than the clocks can differ
-    /// over one duration; otherwise two holders may act at once.
+    /// It must be shorter than `takeover_after` by more than two clocks can drift
+    /// apart during `takeover_after`. Otherwise two holders may act at once.
     pub valid_for: Duration,
-    /// Time between a holder's renewals. Default 2 s.
+    /// Time between two renewals by the holder, and between two reads by another
+    /// candidate. Default 2 s.
     pub renew_interval: Duration,
 }
 
@@ -49,7 +54,7 @@
 
 /// A number that grows with every change of holder.
 ///
-/// A holder puts its token into everything it writes. A write under a lower
+/// A holder includes its token in everything it writes. A write with a lower
 /// token than the stored one comes from a holder that was replaced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(u64);
@@ -60,19 +65,20 @@
         Self(number)
     }
 
-    /// The number to store.
+    /// Returns the number to store.
     pub fn get(self) -> u64 {
         self.0
     }
 
-    /// Checks a write under this token against the token in the stored object.
+    /// Checks that a write with this token may replace an object that was stored
+    /// with the token `stored`.
     ///
     /// The write must also be conditional on the revision at which the stored
     /// token was read.
     ///
     /// # Errors
     ///
-    /// Fails if the stored token is higher.
+    /// Returns an error if the stored token is higher.
     pub fn check(self, stored: FencingToken) -> Result<(), StaleToken> {
         if self < stored {
             return Err(StaleToken { own: self, stored });
@@ -81,7 +87,7 @@
     }
 }
 
-/// The error of a write by a holder that was replaced.
+/// The error returned for a write by a holder that was replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("fencing token {} is lower than the stored token {}", own.0, stored.0)]
 pub struct StaleToken {
@@ -89,96 +95,103 @@
     stored: FencingToken,
 }
 
-/// The stored form of a lease.
+/// The content of the lease's object in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
-    /// The holder and its incarnation, or `None` after a yield.
+    /// The holder and its incarnation, or `None` after the holder released the
+    /// lease.
     pub holder: Option<(VmName, u64)>,
-    /// Token of the holder, or of the last one after a yield.
+    /// Token of the holder, or of the last holder after a release.
     pub token: FencingToken,
-    /// Counts the writes of one incarnation, so that a holder recognizes its
-    /// own write after a lost answer.
+    /// Number of this write among those of the incarnation that wrote it. With
+    /// it, a holder recognizes its own write if the response to it was lost.
     pub write: u64,
 }
 
-/// What to do next about the lease.
+/// What the caller of [`Lease::next_action`] is to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Write the record if the object is still at this revision; `None` means
-    /// that the object must not exist.
+    /// Write the record to the object, on condition of its revision.
     Write {
-        /// Condition of the update.
+        /// The revision that the object must still have; `None` means that the
+        /// object must not exist.
         expected: Option<u64>,
         /// The record to store.
         record: LeaseRecord,
     },
-    /// Read the record: no recent read has been seen, or a write's outcome is unknown.
+    /// Read the record, because there is no recent read or the outcome of a write
+    /// is unknown.
     Read,
-    /// Decide again at this instant.
+    /// Do nothing until an instant.
     Wait {
-        /// The instant.
+        /// When to call [`Lease::next_action`] again.
         until: Instant,
     },
 }
 
+/// The newest content of the object that this candidate knows.
 #[derive(Clone, Debug)]
-struct Seen {
-    /// `None` if the object does not exist.
+struct ObservedRecord {
+    /// Revision and record, or `None` if the object does not exist.
     stored: Option<(u64, LeaseRecord)>,
-    /// When this revision was first seen.
+    /// When this revision was first observed.
     since: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingWrite {
     record: LeaseRecord,
     sent_at: Instant,
 }
 
+/// The lease as this candidate holds it, unless the validity has ended.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLease {
     token: FencingToken,
+    /// Send time of the last write that took effect.
     renewed_at: Instant,
 }
 
 impl Lease {
-    /// Creates a candidate that has seen nothing.
+    /// Creates a candidate that has not read the object yet.
     ///
     /// `incarnation` must differ between any two processes of the VM.
-    pub fn new(me: VmName, incarnation: u64, cfg: LeaseConfig) -> Self {
+    pub fn new(vm: VmName, incarnation: u64, config: LeaseConfig) -> Self {
         Self {
-            me,
+            vm,
             incarnation,
-            cfg,
-            seen: None,
+            config,
+            observed: None,
             read_at: None,
             pending: None,
             held: None,
-            writes: 0,
+            write_count: 0,
         }
     }
 
-    /// The token, if this candidate holds the lease at `now` by its own clock.
+    /// Returns the token if this candidate holds the lease at `now` by its own
+    /// clock, and `None` otherwise.
     pub fn held(&self, now: Instant) -> Option<FencingToken> {
         self.held
-            .filter(|held| now < held.renewed_at + self.cfg.valid_for)
+            .filter(|held| now < held.renewed_at + self.config.valid_for)
             .map(|held| held.token)
     }
 
-    /// Notes a read of the object that was sent after any write of this candidate ended.
+    /// Records the result of a read. The read must have been sent after all
+    /// writes of this candidate had ended.
     ///
-    /// `stored` is its revision and record, or `None` if it does not exist. A
-    /// lower revision than the newest seen is ignored.
+    /// `stored` is the object's revision and record, or `None` if the object does
+    /// not exist. A revision below the newest observed one is ignored.
     pub fn record_read(&mut self, now: Instant, stored: Option<(u64, LeaseRecord)>) {
         self.read_at = Some(now);
-        if let Some(seen) = &self.seen {
-            let old = seen.stored.as_ref().map(|(revision, _)| *revision);
+        if let Some(observed) = &self.observed {
+            let old = observed.stored.as_ref().map(|(revision, _)| *revision);
             let new = stored.as_ref().map(|(revision, _)| *revision);
             if new < old {
                 return;
             }
             if new == old {
-                // A pending write that the read does not show did not take effect.
+                // The read does not show the pending write, so it did not take effect.
                 self.pending = None;
                 return;
             }
@@ -186,118 +199,130 @@
         if let Some(pending) = self.pending.take()
             && stored.as_ref().map(|(_, record)| record) == Some(&pending.record)
         {
-            self.take_effect(&pending);
+            self.apply_write(&pending);
         }
-        let mine = stored.as_ref().is_some_and(|(_, r)| self.is_mine(r));
-        if !mine {
+        let is_own = stored.as_ref().is_some_and(|(_, r)| self.is_own_record(r));
+        if !is_own {
             self.held = None;
         }
-        self.seen = Some(Seen { stored, since: now });
+        self.observed = Some(ObservedRecord { stored, since: now });
     }
 
-    /// Decides what to do next. A returned write counts as sent at `now`.
+    /// Decides what to do next. The caller must send a returned write at `now`.
     pub fn next_action(&mut self, now: Instant) -> LeaseAction {
         if self.pending.is_some() {
             return LeaseAction::Read;
         }
-        let Some(seen) = &self.seen else {
+        let Some(observed) = &self.observed else {
             return LeaseAction::Read;
         };
-        let Some((revision, record)) = &seen.stored else {
-            return self.write(now, None, FencingToken(1));
+        let Some((revision, record)) = &observed.stored else {
+            return self.prepare_write(now, None, FencingToken(1));
         };
         let (revision, token) = (*revision, record.token);
         if let Some(held) = self.held {
-            let renew_at = held.renewed_at + self.cfg.renew_interval;
+            let renew_at = held.renewed_at + self.config.renew_interval;
             if now < renew_at {
                 return LeaseAction::Wait { until: renew_at };
             }
             if self.held(now).is_some() {
-                return self.write(now, Some(revision), held.token);
+                return self.prepare_write(now, Some(revision), held.token);
             }
-            // The validity lapsed while paused; what was decided under the
-            // old token must not continue, so the lease is acquired anew.
+            // The validity ended while the process was paused. Work that was
+            // decided with the old token must not continue, so the lease is
+            // acquired again with a new one.
             self.held = None;
-            return self.write(now, Some(revision), FencingToken(token.0 + 1));
+            return self.prepare_write(now, Some(revision), FencingToken(token.0 + 1));
         }
-        let free_at = seen.since + self.cfg.takeover_after;
-        if record.holder.is_some() && now < free_at {
-            // Without reads, a candidate that waits does not see renewals, and
-            // the lease of a dead holder stays taken for up to two durations.
-            let read_at = self.read_at.unwrap_or(seen.since) + self.cfg.renew_interval;
+        let takeover_at = observed.since + self.config.takeover_after;
+        if record.holder.is_some() && now < takeover_at {
+            // A waiting candidate has to read regularly to see renewals. Without
+            // these reads, the lease of a crashed holder is not taken over for up
+            // to twice `takeover_after`.
+            let read_at = self.read_at.unwrap_or(observed.since) + self.config.renew_interval;
             if read_at <= now {
                 return LeaseAction::Read;
             }
-            let until = free_at.min(read_at);
+            let until = takeover_at.min(read_at);
             return LeaseAction::Wait { until };
         }
-        self.write(now, Some(revision), FencingToken(token.0 + 1))
+        self.prepare_write(now, Some(revision), FencingToken(token.0 + 1))
     }
 
-    /// Gives the lease up, if held: others may take it at once.
+    /// Releases the lease if this candidate holds it, so that others can acquire
+    /// it at once. Returns the write to send, or `None` if the lease is not held.
     ///
-    /// The candidate stops holding it before the write is sent.
+    /// The candidate no longer holds the lease when this method returns.
     pub fn release(&mut self, now: Instant) -> Option<LeaseAction> {
         let token = self.held(now)?;
         self.held = None;
-        let seen = self.seen.as_ref()?;
-        let (revision, _) = seen.stored.as_ref()?;
-        self.writes += 1;
+        let observed = self.observed.as_ref()?;
+        let (revision, _) = observed.stored.as_ref()?;
+        self.write_count += 1;
         Some(LeaseAction::Write {
             expected: Some(*revision),
             record: LeaseRecord {
                 holder: None,
                 token,
-                write: self.writes,
+                write: self.write_count,
             },
         })
     }
 
-    /// Notes that the pending write took effect at `revision`.
+    /// Records that the pending write took effect at `revision`.
     pub fn record_write(&mut self, now: Instant, revision: u64) {
         if let Some(pending) = self.pending.take() {
-            self.take_effect(&pending);
-            self.seen = Some(Seen {
+            self.apply_write(&pending);
+            self.observed = Some(ObservedRecord {
                 stored: Some((revision, pending.record)),
                 since: now,
             });
         }
     }
 
-    /// Notes that the pending write's condition failed: another candidate was first.
+    /// Records that the condition of the pending write failed, because another
+    /// candidate wrote first.
     pub fn record_conflict(&mut self) {
         self.pending = None;
         self.held = None;
-        self.seen = None;
+        self.observed = None;
     }
 
-    fn write(&mut self, now: Instant, expected: Option<u64>, token: FencingToken) -> LeaseAction {
-        self.writes += 1;
+    /// Returns the write of a record for this candidate, and notes it as pending.
+    fn prepare_write(
+        &mut self,
+        now: Instant,
+        expected: Option<u64>,
+        token: FencingToken,
+    ) -> LeaseAction {
+        self.write_count += 1;
         let record = LeaseRecord {
-            holder: Some((self.me.clone(), self.incarnation)),
+            holder: Some((self.vm.clone(), self.incarnation)),
             token,
-            write: self.writes,
+            write: self.write_count,
         };
-        self.pending = Some(Pending {
+        self.pending = Some(PendingWrite {
             record: record.clone(),
             sent_at: now,
         });
         LeaseAction::Write { expected, record }
     }
 
-    /// The validity counts from the send time, since the write may have taken
-    /// effect as early as that.
-    fn take_effect(&mut self, write: &Pending) {
-        self.held = Some(Held {
+    /// Holds the lease by a write that took effect.
+    ///
+    /// The validity is counted from the send time, because the write may have
+    /// taken effect as early as that.
+    fn apply_write(&mut self, write: &PendingWrite) {
+        self.held = Some(HeldLease {
             token: write.record.token,
             renewed_at: write.sent_at,
         });
     }
 
-    fn is_mine(&self, record: &LeaseRecord) -> bool {
+    fn is_own_record(&self, record: &LeaseRecord) -> bool {
         record
             .holder
             .as_ref()
-            .is_some_and(|(vm, incarnation)| *vm == self.me && *incarnation == self.incarnation)
+            .is_some_and(|(vm, incarnation)| *vm == self.vm && *incarnation == self.incarnation)
     }
 }
