--- a/crates/filbertgrade/src/process/entry/forward.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -257,8 +257,8 @@
         match request::next_step(failed.failure, &context) {
             NextStep::RefuseNotRun(cause) => return Err(Refusal::not_run(cause)),
             NextStep::RefuseUnknown(cause) => return Err(Refusal::unknown(cause)),
-            // Not reached in practice: a response that has started is
-            // forwarded, and is aborted within its stream.
+            // A response that is already being forwarded aborts within its
+            // stream instead, and does not reach this function.
             NextStep::AbortResponse => return Err(Refusal::unknown(Cause::BackendFailed)),
             NextStep::Retry {
                 elsewhere,
@@ -278,8 +278,8 @@
     Err(Refusal::unknown(Cause::BackendFailed))
 }
 
-/// Returns the refusal for a request that may be sent again, in case that no
-/// further attempt can be made.
+/// Returns the refusal for a request that could be sent again, for the case that
+/// no further attempt can be made.
 fn refusal_without_retry(
     failed: &FailedAttempt,
     context: &RetryContext,
@@ -483,8 +483,8 @@
     }
 }
 
-fn upload_failure(fault: UploadError) -> Failure {
-    match fault {
+fn upload_failure(error: UploadError) -> Failure {
+    match error {
         UploadError::Slow => Failure::CallerSlow,
         UploadError::Cut | UploadError::Superseded => Failure::CallerGone,
     }
--- a/crates/filbertgrade/src/process/entry/response.rs
+++ b/crates/filbertgrade/src/process/entry/response.rs
@@ -30,8 +30,8 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ResponseError {
     /// The backend server's response ended before its announced end.
-    #[error("the backend server's response ended early: {0}")]
-    Cut(hyper::Error),
+    #[error("the backend server's response is truncated: {0}")]
+    Truncated(hyper::Error),
     /// The caller's deadline passed before the response was complete.
     #[error("the deadline passed before the end of the response")]
     DeadlinePassed,
@@ -91,8 +91,8 @@
         stream
     }
 
-    /// Finishes at once when the last frame is known to be the last, because
-    /// hyper does not poll a body again after `is_end_stream` returned true.
+    /// Finishes as soon as the body reports its end, because hyper does not poll
+    /// a body again after `is_end_stream` returned true.
     fn finish_if_ended(&mut self) {
         if self.inner.is_end_stream() {
             self.finish();
@@ -114,7 +114,7 @@
         if resources.expired {
             ResponseError::DeadlinePassed
         } else {
-            ResponseError::Cut(error)
+            ResponseError::Truncated(error)
         }
     }
 }
