--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/scene.rs
@@ -20,7 +20,7 @@
 /// server. The entry counts `x-deadline-ms` from the arrival of the request,
 /// takes the token after that, and starts no attempt later than
 /// `MIN_DEADLINE` before the deadline (`take_slot` and `request_for` in
-/// `entry/carry.rs`). An admission is therefore observed late by less than
+/// `entry/forward.rs`). An admission is therefore observed late by less than
 /// the deadline, and never early.
 const JITTER: Duration = DEADLINE;
 
