--- a/crates/filbertgrade/examples/agents_at_scale.rs
+++ b/crates/filbertgrade/examples/agents_at_scale.rs
@@ -27,7 +27,7 @@
 use bytes::Bytes;
 use filbertgrade::connection::PeerLink;
 use filbertgrade::platform::{Condition, HttpPlatform, Platform};
-use filbertgrade::wire::{Body, Hello, LinkTraffic, StatusRequest};
+use filbertgrade::wire::{Body, FeedRequest, LinkTraffic, StatusRequest};
 use filbertgrade_coord::dissemination::{Member, RELAYS_PER_DOMAIN, relays};
 use filbertgrade_standins::platform::{PlatformCounts, PlatformServer};
 use futures::StreamExt;
@@ -558,13 +558,13 @@
     /// does, so that no polling adds to the time.
     async fn holds(&self, revision: u64, deadline: Instant) -> Result<()> {
         while Instant::now() < deadline {
-            let hello = Hello {
+            let hello = FeedRequest {
                 revision: revision - 1,
                 resume: None,
             };
             let answer = self
                 .link
-                .call(Body::Hello(hello), Duration::from_secs(2))
+                .call(Body::FeedRequest(hello), Duration::from_secs(2))
                 .await;
             match answer {
                 Ok(Body::Feed(feed)) => {
@@ -585,13 +585,13 @@
     /// How much longer the agent's state may be relied on. The agent must have
     /// held `revision`; one that it does not hold makes it isolated.
     async fn valid_ms(&self, revision: u64) -> Result<f64> {
-        let hello = Hello {
+        let hello = FeedRequest {
             revision,
             resume: None,
         };
         match self
             .link
-            .call(Body::Hello(hello), Duration::from_secs(5))
+            .call(Body::FeedRequest(hello), Duration::from_secs(5))
             .await?
         {
             Body::Feed(feed) => Ok(feed.valid_ms.unwrap_or(0).into()),
--- a/crates/filbertgrade/src/connection/link.rs
+++ b/crates/filbertgrade/src/connection/link.rs
@@ -122,26 +122,26 @@
     pub async fn notify(&self, body: Body) -> Result<(), LinkError> {
         let link = self.open_link().await?;
         let frame = Frame {
-            call: 0,
+            call_id: 0,
             body: Some(body),
         };
         link.tx.send(frame).await.map_err(|_| self.closed())
     }
 
     async fn call_unbounded(&self, body: Body) -> Result<Body, LinkError> {
-        let call = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
+        let call_id = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
         let link = self.open_link().await?;
         let (tx, rx) = oneshot::channel();
         match lock(&link.pending).as_mut() {
-            Some(pending) => pending.insert(call, tx),
+            Some(pending) => pending.insert(call_id, tx),
             None => return Err(self.closed()),
         };
         let remove_call = RemoveOnDrop {
             pending: &link.pending,
-            call,
+            call_id,
         };
         let frame = Frame {
-            call,
+            call_id,
             body: Some(body),
         };
         link.tx.send(frame).await.map_err(|_| self.closed())?;
@@ -218,7 +218,7 @@
     while let Some(frame) = frames.next().await {
         match frame {
             Ok(Frame {
-                call,
+                call_id,
                 body: Some(body),
             }) => {
                 let tx = tx.clone();
@@ -227,7 +227,7 @@
                     if let Some(body) = reply.await {
                         let _ = tx
                             .send(Frame {
-                                call,
+                                call_id,
                                 body: Some(body),
                             })
                             .await;
@@ -290,7 +290,7 @@
 fn dispatch(pending: &Mutex<PendingCalls>, frame: Frame) {
     let tx = lock(pending)
         .as_mut()
-        .and_then(|pending| pending.remove(&frame.call));
+        .and_then(|pending| pending.remove(&frame.call_id));
     if let (Some(tx), Some(body)) = (tx, frame.body) {
         let _ = tx.send(body);
     }
@@ -307,13 +307,13 @@
 /// dropped.
 struct RemoveOnDrop<'a> {
     pending: &'a Mutex<PendingCalls>,
-    call: u64,
+    call_id: u64,
 }
 
 impl Drop for RemoveOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(pending) = lock(self.pending).as_mut() {
-            pending.remove(&self.call);
+            pending.remove(&self.call_id);
         }
     }
 }
--- a/crates/filbertgrade/src/platform/http.rs
+++ b/crates/filbertgrade/src/platform/http.rs
@@ -87,8 +87,8 @@
         match answer {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(PlatformError::too_long(name, limit)),
-            Ok(Err(e)) => Err(PlatformError::no_answer(name, &e)),
-            Err(_) => Err(PlatformError::no_answer(name, &"timed out")),
+            Ok(Err(e)) => Err(PlatformError::no_response(name, &e)),
+            Err(_) => Err(PlatformError::no_response(name, &"timed out")),
         }
     }
 
@@ -296,7 +296,7 @@
 fn decode_changes(name: &str, body: &Bytes) -> Result<Changes, PlatformError> {
     serde_json::from_slice::<WireChanges>(body)
         .map(Changes::from)
-        .map_err(|e| PlatformError::bad_answer(name, &e))
+        .map_err(|e| PlatformError::malformed_response(name, &e))
 }
 
 fn revision(name: &str, answer: &Response<Bytes>) -> Result<Revision, PlatformError> {
@@ -305,7 +305,7 @@
         .get(ETAG)
         .and_then(|etag| etag.to_str().ok())
         .and_then(|etag| etag.trim_matches('"').parse().ok())
-        .ok_or_else(|| PlatformError::bad_answer(name, &"no revision in the etag header"))
+        .ok_or_else(|| PlatformError::malformed_response(name, &"no revision in the etag header"))
 }
 
 fn object_target(name: &str) -> String {
--- a/crates/filbertgrade/src/platform/mod.rs
+++ b/crates/filbertgrade/src/platform/mod.rs
@@ -136,7 +136,7 @@
         Self::new(name, PlatformErrorKind::NotSent(cause.to_string()))
     }
 
-    pub(crate) fn no_answer(name: &str, cause: &dyn std::fmt::Display) -> Self {
+    pub(crate) fn no_response(name: &str, cause: &dyn std::fmt::Display) -> Self {
         Self::new(name, PlatformErrorKind::NoAnswer(cause.to_string()))
     }
 
@@ -144,7 +144,7 @@
         Self::new(name, PlatformErrorKind::Refused(status))
     }
 
-    pub(crate) fn bad_answer(name: &str, cause: &dyn std::fmt::Display) -> Self {
+    pub(crate) fn malformed_response(name: &str, cause: &dyn std::fmt::Display) -> Self {
         Self::new(name, PlatformErrorKind::BadAnswer(cause.to_string()))
     }
 
--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -94,7 +94,7 @@
 
 impl Allocator {
     fn is_candidate(&self) -> bool {
-        self.agent.state().place.allocator_candidate
+        self.agent.state().topology.allocator_candidate
     }
 
     async fn follow_lease(&mut self) {
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -26,7 +26,7 @@
 use crate::process::settings::NodeSettings;
 use crate::sync::lock;
 use crate::version::{OutgoingDeltas, VmRecord};
-use crate::wire::Report;
+use crate::wire::EntryReport;
 
 /// Longest wait before the entry's request for state is answered.
 ///
@@ -75,7 +75,7 @@
     /// Revision held; tasks wait for it to grow.
     pub(crate) revision: watch::Sender<Revision>,
     /// Last report of the entry.
-    pub(crate) report: Mutex<Option<Report>>,
+    pub(crate) report: Mutex<Option<EntryReport>>,
     /// When the entry reported last.
     pub(crate) reported_at: Mutex<Option<Instant>>,
 }
@@ -89,7 +89,7 @@
     /// VMs of the platform's list; kept in step with `objects`.
     pub(crate) vms: Vec<VmRecord>,
     /// What follows from `vms`; kept in step with it.
-    pub(crate) place: Place,
+    pub(crate) topology: Topology,
     /// When this agent first held anything.
     held_since: Option<Instant>,
     /// Name of the own VM.
@@ -101,7 +101,7 @@
 /// Finding it takes time in proportion to the list, so it is kept until the
 /// list changes.
 #[derive(Debug, Default)]
-pub(crate) struct Place {
+pub(crate) struct Topology {
     /// VMs to pull from.
     pub(crate) neighbours: Vec<VmRecord>,
     /// The agent watches the store.
@@ -112,7 +112,7 @@
     live_regions: BTreeSet<RegionName>,
 }
 
-impl Place {
+impl Topology {
     fn find(me: &Member, vms: &[VmRecord]) -> Self {
         let members: Vec<Member> = vms.iter().filter_map(member).collect();
         let chosen: BTreeSet<_> = dissemination::neighbours(me, &members)
@@ -139,7 +139,7 @@
             objects: VersionedMap::new(CHANGE_LOG),
             freshness: FreshnessTracker::new(settings.region.clone()),
             vms: Vec::new(),
-            place: Place::default(),
+            topology: Topology::default(),
             held_since: None,
             vm: settings.vm.clone(),
         };
@@ -170,7 +170,7 @@
         if let Applied::Advanced(names) = &applied {
             if names.iter().any(|name| name.starts_with("vms/")) {
                 state.vms = listed_vms(&state.objects);
-                state.place = Place::find(&self.me(), &state.vms);
+                state.topology = Topology::find(&self.me(), &state.vms);
             }
             state.held_since.get_or_insert_with(Instant::now);
             let held = state.objects.revision();
@@ -201,7 +201,7 @@
         let held = self.objects.revision();
         let until = self
             .freshness
-            .freshness(now, held, &self.place.live_regions, alone)
+            .freshness(now, held, &self.topology.live_regions, alone)
             .valid_until();
         Some(until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now)))
     }
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -9,7 +9,9 @@
 use super::{Agent, FEED_WAIT, lock};
 use crate::connection::traffic;
 use crate::version::{OutgoingDeltas, VmRecord, VmState};
-use crate::wire::{Body, Feed, Hello, Pull, PullReply, RegionEvidence, Report, StatusReply};
+use crate::wire::{
+    Body, EntryReport, Feed, FeedRequest, Pull, PullReply, RegionEvidence, StatusReply,
+};
 
 /// The entry reports after every feed, at least every [`FEED_WAIT`]. Without a
 /// report for this time it is not running, and what it held counts for nothing.
@@ -27,8 +29,8 @@
 
 pub(crate) async fn answer(agent: Arc<Agent>, peer: SocketAddr, body: Body) -> Option<Body> {
     match body {
-        Body::Hello(hello) => Some(Body::Feed(feed(&agent, &hello).await)),
-        Body::Report(report) => {
+        Body::FeedRequest(hello) => Some(Body::Feed(feed(&agent, &hello).await)),
+        Body::EntryReport(report) => {
             note_report(&agent, report);
             None
         }
@@ -41,7 +43,7 @@
     }
 }
 
-async fn feed(agent: &Agent, hello: &Hello) -> Feed {
+async fn feed(agent: &Agent, hello: &FeedRequest) -> Feed {
     let asked = Instant::now();
     let mut revision = agent.revision.subscribe();
     let newer = revision.wait_for(|held| *held > hello.revision);
@@ -72,7 +74,7 @@
     }
 }
 
-fn note_report(agent: &Agent, report: Report) {
+fn note_report(agent: &Agent, report: EntryReport) {
     let mut last = lock(&agent.report);
     *last = Some(report);
     *lock(&agent.reported_at) = Some(Instant::now());
@@ -151,10 +153,10 @@
         Self {
             region: ages.region.to_string(),
             confirmed_age_ms: ages.confirmed.map(|(age, _)| millis(age)),
-            heard_age_ms: ages.heard.map(millis),
+            received_age_ms: ages.heard.map(millis),
             revision: ages.revision,
             confirmed_revision: ages.confirmed.map_or(0, |(_, revision)| revision),
-            reached_age_ms: ages.reached.map(millis),
+            store_answered_age_ms: ages.reached.map(millis),
         }
     }
 }
@@ -171,8 +173,8 @@
             confirmed: evidence
                 .confirmed_age_ms
                 .map(|ms| (age(ms), evidence.confirmed_revision)),
-            reached: evidence.reached_age_ms.map(age),
-            heard: evidence.heard_age_ms.map(age),
+            reached: evidence.store_answered_age_ms.map(age),
+            heard: evidence.received_age_ms.map(age),
             revision: evidence.revision,
         })
     }
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -41,7 +41,7 @@
             let vms = if state.vms.is_empty() {
                 lock(&agent.pullers).clone()
             } else {
-                state.place.neighbours.clone()
+                state.topology.neighbours.clone()
             };
             drop(state);
             let members: Vec<Member> = vms.iter().filter_map(member).collect();
--- a/crates/filbertgrade/src/process/agent/store.rs
+++ b/crates/filbertgrade/src/process/agent/store.rs
@@ -65,7 +65,7 @@
                     log::warn!("event=poll_failed error={}", logfmt::value(&error));
                 }
             }
-            Step::Rest { confirmed } => {
+            Step::Wait { confirmed } => {
                 if confirmed {
                     polled = None;
                 }
@@ -78,7 +78,7 @@
 enum Step {
     Watch,
     Poll,
-    Rest { confirmed: bool },
+    Wait { confirmed: bool },
 }
 
 /// Pause before the next call after `failures` earlier failures in a row,
@@ -98,7 +98,7 @@
 fn next_step(agent: &Agent, started: Instant, polled: Option<(Instant, u32)>) -> Step {
     let now = Instant::now();
     let state = agent.state();
-    if state.vms.is_empty() || state.place.relay {
+    if state.vms.is_empty() || state.topology.relay {
         return Step::Watch;
     }
     let confirmed_at = state.freshness.newest_confirmation().unwrap_or(started);
@@ -106,7 +106,7 @@
     let seed = xxhash_rust::xxh3::xxh3_64(agent.settings.vm.as_str().as_bytes());
     match store_poll(confirmed_at, polled.filter(|_| !confirmed), seed, now) {
         StorePoll::Now => Step::Poll,
-        StorePoll::At(_) => Step::Rest { confirmed },
+        StorePoll::At(_) => Step::Wait { confirmed },
     }
 }
 
--- a/crates/filbertgrade/src/process/command/write.rs
+++ b/crates/filbertgrade/src/process/command/write.rs
@@ -130,7 +130,8 @@
             return read;
         }
         if Instant::now() >= deadline {
-            let lagging = || PlatformError::bad_answer(name, &"the read lags behind the write");
+            let lagging =
+                || PlatformError::malformed_response(name, &"the read lags behind the write");
             return read.and_then(|_| Err(lagging()));
         }
         tokio::time::sleep(RESOLVE_PAUSE).await;
--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -6,7 +6,7 @@
 
 use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::ledger::{
-    self, Admission as Decision, AdmissionRefusal, LedgerConfig, LedgerSnapshot, LendOutcome,
+    Admission as Decision, AdmissionRefusal, LedgerConfig, LedgerSnapshot, LendOutcome, Loan,
     LoanAction, LoanRequest, LoanReturn, Renewal, RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{TeamName, VmName};
@@ -17,7 +17,7 @@
 use crate::request::{Cause, Refusal};
 use crate::sync::{lock, read, write};
 use crate::version::InForce;
-use crate::wire::{Body, Borrow, Loan};
+use crate::wire::{Body, Borrow, LoanMessage};
 
 /// Longest wait for a token. A longer queue would only delay the refusal.
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
@@ -155,12 +155,12 @@
     }
 
     /// Lends to a peer what the own demand leaves free.
-    pub(crate) fn lend(&self, team: &TeamName, ask: &LoanRequest) -> Option<ledger::Loan> {
+    pub(crate) fn lend(&self, team: &TeamName, ask: &LoanRequest) -> Option<Loan> {
         let share = self.existing(team)?;
         match share.state().ledger.lend(Instant::now(), ask) {
-            LendOutcome::Lent(parcel) => {
+            LendOutcome::Lent(loan) => {
                 metrics::counter!("loans_out_total").increment(1);
-                Some(parcel)
+                Some(loan)
             }
             LendOutcome::Declined(_) => None,
         }
@@ -412,10 +412,10 @@
     }
 }
 
-fn take_loan(share: &TeamShare, ask: &LoanRequest, loan: Loan) {
-    match loan.into_parcel(ask) {
-        Ok(Some(parcel)) => {
-            let credit = share.state().ledger.credit(Instant::now(), &parcel);
+fn take_loan(share: &TeamShare, ask: &LoanRequest, loan: LoanMessage) {
+    match loan.into_loan(ask) {
+        Ok(Some(loan)) => {
+            let credit = share.state().ledger.credit(Instant::now(), &loan);
             log::debug!("event=loan team={} outcome={credit:?}", share.name);
             metrics::counter!("loans_in_total").increment(1);
             share.wake.notify_one();
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -11,7 +11,7 @@
 use crate::connection::PeerLink;
 use crate::logfmt;
 use crate::version::{InForce, IncomingDelta};
-use crate::wire::{Body, Feed, Hello, Report};
+use crate::wire::{Body, EntryReport, Feed, FeedRequest};
 
 /// Time for one answer of the agent, which answers at once or when its state
 /// changes, at the latest after [`crate::process::agent::FEED_WAIT`].
@@ -29,14 +29,14 @@
     let mut incoming = IncomingDelta::default();
     loop {
         let sent = Instant::now();
-        let hello = Hello {
+        let hello = FeedRequest {
             revision: objects.revision(),
             resume: incoming.resume(),
         };
-        match link.call(Body::Hello(hello), FEED_TIMEOUT).await {
+        match link.call(Body::FeedRequest(hello), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
                 take_feed(&entry, &mut objects, &mut incoming, feed, sent);
-                let _ = link.notify(Body::Report(report(&entry))).await;
+                let _ = link.notify(Body::EntryReport(report(&entry))).await;
             }
             Ok(_) => tokio::time::sleep(RETRY_PAUSE).await,
             Err(error) => {
@@ -94,9 +94,9 @@
     entry.in_force.store(Arc::new(view));
 }
 
-fn report(entry: &Entry) -> Report {
+fn report(entry: &Entry) -> EntryReport {
     let view = entry.view();
-    Report {
+    EntryReport {
         revision: view.revision,
         share_table_version: entry.admission.version_in_effect(),
         config_version: view.config_version,
--- a/crates/filbertgrade/src/process/entry/peers.rs
+++ b/crates/filbertgrade/src/process/entry/peers.rs
@@ -4,7 +4,9 @@
 
 use super::Entry;
 use crate::logfmt;
-use crate::wire::{Body, Borrow, Loan, LoanMessageError, LoanRenewed, RenewLoan, ReturnLoan};
+use crate::wire::{
+    Body, Borrow, LoanMessage, LoanMessageError, LoanRenewed, RenewLoan, ReturnLoan,
+};
 
 pub(crate) async fn answer(entry: Arc<Entry>, body: Body) -> Option<Body> {
     match body {
@@ -29,7 +31,7 @@
     }
 }
 
-fn lend(entry: &Entry, borrow: Borrow) -> Result<Loan, LoanMessageError> {
+fn lend(entry: &Entry, borrow: Borrow) -> Result<LoanMessage, LoanMessageError> {
     let (team, ask) = borrow.try_into()?;
     Ok(entry.admission.lend(&team, &ask).into())
 }
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -368,7 +368,7 @@
             deadline_ms: wait.as_millis().try_into().unwrap_or(u32::MAX),
             remote: self.origin(id) == Origin::Remote,
             avoid: ask.avoid.iter().map(ToString::to_string).collect(),
-            resting: resting == Resting::Used,
+            use_ejected: resting == Resting::Used,
         });
         let (tx, rx) = oneshot::channel();
         let slots = self.clone();
@@ -454,7 +454,7 @@
             deadline: Instant::now() + wait.max(Duration::from_millis(1)),
             avoid: book::endpoint_names(&avoid),
         };
-        let resting = if message.resting {
+        let resting = if message.use_ejected {
             Resting::Used
         } else {
             Resting::Left
--- a/crates/filbertgrade/src/request/guard.rs
+++ b/crates/filbertgrade/src/request/guard.rs
@@ -273,7 +273,7 @@
             return Ok(None);
         };
         let record = serde_json::from_slice(&value)
-            .map_err(|e| PlatformError::bad_answer(&self.name, &e))?;
+            .map_err(|e| PlatformError::malformed_response(&self.name, &e))?;
         Ok(Some((revision, record)))
     }
 
--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -82,7 +82,7 @@
             })
         {
             kept.used_at = now;
-            return Some(page_of(&kept.delta, resume.next));
+            return Some(page_of(&kept.delta, resume.offset));
         }
         let delta = delta_for(objects, revision)?;
         let page = page_of(&delta, 0);
@@ -107,7 +107,7 @@
         self.collected.as_ref().map(|delta| Resume {
             from: delta.from,
             to: delta.to,
-            next: delta.objects.len() as u64,
+            offset: delta.objects.len() as u64,
         })
     }
 
@@ -119,7 +119,7 @@
     /// Fails when the page does not continue the ones before it. They are
     /// forgotten then.
     pub(crate) fn take(&mut self, page: wire::Delta) -> Result<Option<wire::Delta>, PageError> {
-        let before = self.collected.take().filter(|_| page.first > 0);
+        let before = self.collected.take().filter(|_| page.offset > 0);
         let mut bytes = if before.is_some() { self.bytes } else { 0 };
         bytes += page.objects.iter().map(object_bytes).sum::<usize>();
         let collected = before
@@ -130,9 +130,9 @@
                 == (page.from, page.to, page.snapshot, page.total)
         });
         let empty = page.objects.is_empty() && page.total > 0;
-        if page.first != collected || !continues || empty || bytes > COLLECTED_BYTES {
+        if page.offset != collected || !continues || empty || bytes > COLLECTED_BYTES {
             return Err(PageError {
-                first: page.first,
+                first: page.offset,
                 total: page.total,
                 collected,
                 bytes,
@@ -154,9 +154,9 @@
     }
 }
 
-/// The page of `delta` that starts after its first `first` objects.
-fn page_of(delta: &wire::Delta, first: u64) -> wire::Delta {
-    let rest = delta.objects.get(first as usize..).unwrap_or_default();
+/// The page of `delta` that starts after its first `offset` objects.
+fn page_of(delta: &wire::Delta, offset: u64) -> wire::Delta {
+    let rest = delta.objects.get(offset as usize..).unwrap_or_default();
     let mut bytes = 0;
     let fitting = rest.iter().take_while(|object| {
         bytes += object_bytes(object);
@@ -168,7 +168,7 @@
         to: delta.to,
         objects: rest[..count].to_vec(),
         snapshot: delta.snapshot,
-        first,
+        offset,
         total: delta.objects.len() as u64,
     }
 }
@@ -252,7 +252,7 @@
                 })
                 .collect(),
             snapshot: false,
-            first: 0,
+            offset: 0,
             total: 0,
         }
     }
@@ -273,7 +273,7 @@
                 })
                 .collect(),
             snapshot: true,
-            first: 0,
+            offset: 0,
             total: 0,
         }
     }
--- a/crates/filbertgrade/src/wire/loans.rs
+++ b/crates/filbertgrade/src/wire/loans.rs
@@ -2,39 +2,39 @@
 
 use filbertgrade_coord::bucket::{RateShare, RateShareError};
 use filbertgrade_coord::ledger::{
-    self, LoanId, LoanRequest, LoanRequestId, LoanReturn, Renewal, RenewalReply,
+    Loan, LoanId, LoanRequest, LoanRequestId, LoanReturn, Renewal, RenewalReply,
 };
 use filbertgrade_coord::names::{NameError, TeamName};
 
-use super::{Borrow, Id, Loan, LoanRenewed, RenewLoan, ReturnLoan};
+use super::{Borrow, LoanMessage, LoanRenewed, RenewLoan, ReturnLoan, ScopedId};
 
 /// Why a message about a loan was rejected.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LoanMessageError {
-    /// The ask or the loan is not named.
+    /// The request or the loan is not named.
     #[error("the message names no loan")]
-    Unnamed,
+    MissingId,
     /// A name is malformed.
     #[error(transparent)]
     Name(#[from] NameError),
     /// A rate or burst is malformed.
     #[error(transparent)]
-    Part(#[from] RateShareError),
+    Share(#[from] RateShareError),
 }
 
 impl From<(&TeamName, &LoanRequest)> for Borrow {
-    fn from((team, ask): (&TeamName, &LoanRequest)) -> Self {
+    fn from((team, request): (&TeamName, &LoanRequest)) -> Self {
         Self {
             team: team.to_string(),
-            ask: Some(Id {
-                vm: ask.id.borrower.to_string(),
-                incarnation: ask.id.incarnation,
-                number: ask.id.number,
+            request: Some(ScopedId {
+                vm: request.id.borrower.to_string(),
+                incarnation: request.id.incarnation,
+                number: request.id.number,
             }),
-            rate: ask.share.rate(),
-            burst: ask.share.burst(),
-            tokens: ask.tokens,
+            rate: request.share.rate(),
+            burst: request.share.burst(),
+            tokens: request.tokens,
         }
     }
 }
@@ -43,8 +43,8 @@
     type Error = LoanMessageError;
 
     fn try_from(borrow: Borrow) -> Result<Self, LoanMessageError> {
-        let id = borrow.ask.ok_or(LoanMessageError::Unnamed)?;
-        let ask = LoanRequest {
+        let id = borrow.request.ok_or(LoanMessageError::MissingId)?;
+        let request = LoanRequest {
             id: LoanRequestId {
                 borrower: id.vm.as_str().try_into()?,
                 incarnation: id.incarnation,
@@ -53,33 +53,30 @@
             share: RateShare::new(borrow.rate, borrow.burst)?,
             tokens: borrow.tokens,
         };
-        Ok((borrow.team.as_str().try_into()?, ask))
+        Ok((borrow.team.as_str().try_into()?, request))
     }
 }
 
-impl From<Option<ledger::Loan>> for Loan {
-    fn from(parcel: Option<ledger::Loan>) -> Self {
-        parcel.map_or_else(Self::default, |parcel| Self {
-            loan: Some(parcel.id.into()),
-            rate: parcel.share.rate(),
-            burst: parcel.share.burst(),
-            tokens: parcel.tokens,
+impl From<Option<Loan>> for LoanMessage {
+    fn from(loan: Option<Loan>) -> Self {
+        loan.map_or_else(Self::default, |loan| Self {
+            id: Some(loan.id.into()),
+            rate: loan.share.rate(),
+            burst: loan.share.burst(),
+            tokens: loan.tokens,
         })
     }
 }
 
-impl Loan {
-    /// The parcel that answers `ask`; `None` when nothing was lent.
-    pub(crate) fn into_parcel(
-        self,
-        ask: &LoanRequest,
-    ) -> Result<Option<ledger::Loan>, LoanMessageError> {
-        let Some(loan) = self.loan else {
+impl LoanMessage {
+    /// The loan that answers `request`; `None` when nothing was lent.
+    pub(crate) fn into_loan(self, request: &LoanRequest) -> Result<Option<Loan>, LoanMessageError> {
+        let Some(id) = self.id else {
             return Ok(None);
         };
-        Ok(Some(ledger::Loan {
-            id: loan.try_into()?,
-            request: ask.id.clone(),
+        Ok(Some(Loan {
+            id: id.try_into()?,
+            request: request.id.clone(),
             share: RateShare::new(self.rate, self.burst)?,
             tokens: self.tokens,
         }))
@@ -100,7 +97,10 @@
     type Error = LoanMessageError;
 
     fn try_from(message: RenewLoan) -> Result<Self, LoanMessageError> {
-        let loan = message.loan.ok_or(LoanMessageError::Unnamed)?.try_into()?;
+        let loan = message
+            .loan
+            .ok_or(LoanMessageError::MissingId)?
+            .try_into()?;
         let renewal = Renewal {
             loan,
             number: message.number,
@@ -141,7 +141,10 @@
     type Error = LoanMessageError;
 
     fn try_from(message: ReturnLoan) -> Result<Self, LoanMessageError> {
-        let loan = message.loan.ok_or(LoanMessageError::Unnamed)?.try_into()?;
+        let loan = message
+            .loan
+            .ok_or(LoanMessageError::MissingId)?
+            .try_into()?;
         let returned = LoanReturn {
             loan,
             tokens: message.tokens,
@@ -150,7 +153,7 @@
     }
 }
 
-impl From<LoanId> for Id {
+impl From<LoanId> for ScopedId {
     fn from(loan: LoanId) -> Self {
         Self {
             vm: loan.lender.to_string(),
@@ -160,10 +163,10 @@
     }
 }
 
-impl TryFrom<Id> for LoanId {
+impl TryFrom<ScopedId> for LoanId {
     type Error = NameError;
 
-    fn try_from(id: Id) -> Result<Self, NameError> {
+    fn try_from(id: ScopedId) -> Result<Self, NameError> {
         Ok(Self {
             lender: id.vm.as_str().try_into()?,
             incarnation: id.incarnation,
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -16,7 +16,7 @@
     /// Number that the requesting side chose; a reply repeats it. 0 marks a
     /// one-way message.
     #[prost(uint64, tag = "1")]
-    pub call: u64,
+    pub call_id: u64,
     /// The content.
     #[prost(
         oneof = "Body",
@@ -30,13 +30,13 @@
 pub enum Body {
     /// Entry to its agent: asks for the feed.
     #[prost(message, tag = "2")]
-    Hello(Hello),
+    FeedRequest(FeedRequest),
     /// Agent to its entry.
     #[prost(message, tag = "3")]
     Feed(Feed),
     /// Entry to its agent.
     #[prost(message, tag = "4")]
-    Report(Report),
+    EntryReport(EntryReport),
     /// Agent to agent: asks for newer state.
     #[prost(message, tag = "5")]
     Pull(Pull),
@@ -54,7 +54,7 @@
     Borrow(Borrow),
     /// Answer to [`Borrow`].
     #[prost(message, tag = "10")]
-    Loan(Loan),
+    Loan(LoanMessage),
     /// Entry to entry: asks the lender to extend a loan.
     #[prost(message, tag = "11")]
     RenewLoan(RenewLoan),
@@ -89,7 +89,7 @@
 
 /// Asks an agent for the feed of its VM.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Hello {
+pub struct FeedRequest {
     /// Revision that the entry already holds.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
@@ -109,7 +109,7 @@
     pub to: u64,
     /// Objects of the delta that have arrived.
     #[prost(uint64, tag = "3")]
-    pub next: u64,
+    pub offset: u64,
 }
 
 /// One object of the platform as it is passed on; no value marks a removal.
@@ -144,7 +144,7 @@
     pub snapshot: bool,
     /// Objects of the delta that come before those of this page.
     #[prost(uint64, tag = "5")]
-    pub first: u64,
+    pub offset: u64,
     /// Objects of all pages together.
     #[prost(uint64, tag = "6")]
     pub total: u64,
@@ -157,7 +157,7 @@
     #[prost(message, optional, tag = "1")]
     pub delta: Option<Delta>,
     /// How long the state may be relied on, in milliseconds from the arrival
-    /// of the `Hello`; 0 when the VM is isolated. Absent while the agent knows
+    /// of the `FeedRequest`; 0 when the VM is isolated. Absent while the agent knows
     /// too little to judge, as after a restart.
     #[prost(uint32, optional, tag = "2")]
     pub valid_ms: Option<u32>,
@@ -168,7 +168,7 @@
 
 /// State from the entry to its agent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Report {
+pub struct EntryReport {
     /// Revision in force in the entry.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
@@ -219,7 +219,7 @@
     pub confirmed_age_ms: Option<u32>,
     /// Age of the newest word from any agent of the region, in milliseconds.
     #[prost(uint32, optional, tag = "3")]
-    pub heard_age_ms: Option<u32>,
+    pub received_age_ms: Option<u32>,
     /// Newest revision known in the region.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
@@ -229,7 +229,7 @@
     /// Age of the newest answer of the store, whatever its revision, in
     /// milliseconds.
     #[prost(uint32, optional, tag = "6")]
-    pub reached_age_ms: Option<u32>,
+    pub store_answered_age_ms: Option<u32>,
 }
 
 /// Answer to [`Pull`].
@@ -261,7 +261,7 @@
     pub agent_revision: u64,
     /// Last report of the entry, if it is connected.
     #[prost(message, optional, tag = "3")]
-    pub entry: Option<Report>,
+    pub entry: Option<EntryReport>,
     /// Traffic of the agent's links.
     #[prost(message, optional, tag = "4")]
     pub traffic: Option<LinkTraffic>,
@@ -293,7 +293,7 @@
     pub team: String,
     /// Names the ask; its VM is the borrower.
     #[prost(message, optional, tag = "2")]
-    pub ask: Option<Id>,
+    pub request: Option<ScopedId>,
     /// Wanted rate, in requests per second.
     #[prost(double, tag = "3")]
     pub rate: f64,
@@ -307,10 +307,10 @@
 
 /// Answer to [`Borrow`]: a parcel that moves for the length of a lease.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Loan {
+pub struct LoanMessage {
     /// Names the loan; its VM is the lender. Nothing was lent when absent.
     #[prost(message, optional, tag = "1")]
-    pub loan: Option<Id>,
+    pub id: Option<ScopedId>,
     /// Rate part, in requests per second.
     #[prost(double, tag = "2")]
     pub rate: f64,
@@ -330,7 +330,7 @@
     pub team: String,
     /// The loan.
     #[prost(message, optional, tag = "2")]
-    pub loan: Option<Id>,
+    pub loan: Option<ScopedId>,
     /// Counts the renewals of the loan.
     #[prost(uint64, tag = "3")]
     pub number: u64,
@@ -352,7 +352,7 @@
     pub team: String,
     /// The loan.
     #[prost(message, optional, tag = "2")]
-    pub loan: Option<Id>,
+    pub loan: Option<ScopedId>,
     /// Unspent tokens, in requests.
     #[prost(double, tag = "3")]
     pub tokens: f64,
@@ -360,7 +360,7 @@
 
 /// A number that one incarnation of a VM's process gave out.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Id {
+pub struct ScopedId {
     /// Name of the VM.
     #[prost(string, tag = "1")]
     pub vm: String,
@@ -398,7 +398,7 @@
     pub avoid: Vec<String>,
     /// Ends the rest of endpoints that had a fault: no region has another one.
     #[prost(bool, tag = "8")]
-    pub resting: bool,
+    pub use_ejected: bool,
 }
 
 /// The right to run one request on an endpoint.
