--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -1,4 +1,5 @@
-//! The allocator: the one agent that divides the teams' limits among VMs.
+//! The allocator: the agent that holds the allocator lease. It divides the teams'
+//! limits among the VMs and sets the steering weights of the regions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -23,24 +24,25 @@
 };
 use crate::wire::{Body, StatusRequest};
 
-/// Name of the lease's object.
-const LEASE: &str = "leases/allocator";
+/// Name of the stored object that holds the lease.
+const LEASE_OBJECT: &str = "leases/allocator";
 
-/// VMs that try to hold the lease. With three, the loss of two at once still
-/// leaves one; more would only read the store more often.
+/// Number of VMs that try to acquire the lease. With three, one is left after
+/// the loss of two at once; more would only add reads of the store.
 const CANDIDATES: usize = 3;
 
-/// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
+/// Time between two rounds of the allocator.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two reads of the lease by a candidate that waits for it, which
-/// delays a takeover after a holder gave the lease up.
-const LEASE_READ: Duration = Duration::from_secs(1);
+/// Time between two reads of the lease by a candidate that does not hold it. It
+/// is also the longest delay of a takeover after the holder released the lease.
+const LEASE_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time for one agent to acknowledge a table.
+/// Maximum time to wait for one agent to report which share table is in effect.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Follows the lease, and divides the limits while holding it.
+/// Runs the allocator until the process is stopped: tries to acquire the lease
+/// while this VM is a candidate, and publishes tables while it holds the lease.
 pub(crate) async fn run(agent: Arc<Agent>) {
     let lease = Lease::new(
         agent.settings.vm.clone(),
@@ -52,28 +54,28 @@
         lease,
         lease_read_at: None,
         absent_since: BTreeMap::new(),
-        table_since: None,
-        view: InForce::default(),
-        step_since: None,
+        table_seen_at: None,
+        in_force: InForce::default(),
+        step_seen_at: None,
         links: HashMap::new(),
     };
-    let mut ticks = tokio::time::interval(ROUND);
+    let mut ticks = tokio::time::interval(ROUND_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         if allocator.is_candidate() {
-            allocator.follow_lease().await;
-            allocator.divide().await;
-            allocator.steer().await;
+            allocator.advance_lease().await;
+            allocator.advance_share_table().await;
+            allocator.advance_weights().await;
         } else {
-            allocator.yield_lease().await;
+            allocator.release_lease().await;
         }
     }
 }
 
-/// Reports whether `vm` is one of the `live` VMs that try to hold the lease.
+/// Reports whether `vm` is one of the `live` VMs that try to acquire the lease.
 pub(super) fn is_candidate<'a>(vm: &VmName, live: impl Iterator<Item = &'a VmRecord>) -> bool {
-    rendezvous::top(LEASE, live.map(|vm| &vm.name), CANDIDATES).contains(&vm)
+    rendezvous::top(LEASE_OBJECT, live.map(|vm| &vm.name), CANDIDATES).contains(&vm)
 }
 
 struct Allocator {
@@ -81,28 +83,33 @@
     lease: Lease,
     /// When the lease was last read.
     lease_read_at: Option<Instant>,
-    /// When each VM of the table was first missed in the platform's list.
+    /// When each VM of the share table was first found missing from the
+    /// platform's list.
     absent_since: BTreeMap<VmName, Instant>,
-    /// When the present table's version was first seen.
-    table_since: Option<(u64, Instant)>,
-    /// The configuration, drains and weights that are stored.
-    view: InForce,
-    /// When the last step of the weights was first seen.
-    step_since: Option<(u64, Instant)>,
+    /// Version of the current share table, and when this agent first saw it.
+    table_seen_at: Option<(u64, Instant)>,
+    /// Stored configuration, drains and weights, as of the last round.
+    in_force: InForce,
+    /// Last step of the weights, and when this agent first saw it.
+    step_seen_at: Option<(u64, Instant)>,
+    /// Links to the agents of the listed VMs, with the address of each.
     links: HashMap<VmName, (SocketAddr, PeerLink)>,
 }
 
 impl Allocator {
     fn is_candidate(&self) -> bool {
-        self.agent.state().topology.allocator_candidate
+        self.agent.state().topology.is_allocator_candidate
     }
 
-    async fn follow_lease(&mut self) {
+    /// Acquires, renews or reads the lease, whichever is due.
+    async fn advance_lease(&mut self) {
         let now = Instant::now();
         let result = match self.lease.next(now) {
             LeaseAction::Wait { .. } if self.lease.held(now).is_some() => Ok(()),
             LeaseAction::Wait { .. }
-                if self.lease_read_at.is_some_and(|at| now < at + LEASE_READ) =>
+                if self
+                    .lease_read_at
+                    .is_some_and(|at| now < at + LEASE_READ_INTERVAL) =>
             {
                 Ok(())
             }
@@ -115,33 +122,36 @@
         }
     }
 
-    /// Gives the lease up when this VM is no candidate, for instance because it
-    /// leaves. Otherwise nobody would move shares until the lease lapses.
-    async fn yield_lease(&mut self) {
-        // What was first seen under the lease says nothing about the time
-        // since, in which this agent does not look.
+    /// Releases the lease when this VM is not a candidate, for example because it
+    /// is leaving. Without this, no shares would move until the lease expires.
+    async fn release_lease(&mut self) {
+        // An agent that is not a candidate stops observing the tables and the
+        // list, so the times of its earlier observations are no longer valid.
         self.absent_since.clear();
-        self.table_since = None;
-        self.step_since = None;
+        self.table_seen_at = None;
+        self.step_seen_at = None;
         let Some(LeaseAction::Write { expected, record }) = self.lease.yield_now(Instant::now())
         else {
             return;
         };
         let value = serde_json::to_vec(&LeaseFile::from(&record)).unwrap_or_default();
         let condition = expected.map_or(Condition::Absent, Condition::At);
-        let written = self.agent.platform.put(LEASE, value.into(), condition);
+        let written = self
+            .agent
+            .platform
+            .put(LEASE_OBJECT, value.into(), condition);
         match written.await {
             Ok(_) => log::info!("event=lease_yielded token={}", record.token.get()),
             Err(error) => log::warn!("event=lease_failed error={}", logfmt::value(&error)),
         }
-        // Whatever became of this write and of a renewal before it, only a
-        // new read tells the present record.
+        // The result of this write or of an earlier renewal may be unknown, so
+        // the current record must be read again.
         self.lease.conflicted();
     }
 
     async fn read_lease(&mut self) -> Result<(), PlatformError> {
         self.lease_read_at = Some(Instant::now());
-        let object = self.agent.platform.get(LEASE).await?;
+        let object = self.agent.platform.get(LEASE_OBJECT).await?;
         let stored = object.and_then(|object| {
             let file: LeaseFile = serde_json::from_slice(object.value.as_deref()?).ok()?;
             Some((object.revision, LeaseRecord::try_from(file).ok()?))
@@ -157,12 +167,15 @@
     ) -> Result<(), PlatformError> {
         let value = serde_json::to_vec(&LeaseFile::from(record)).unwrap_or_default();
         let condition = expected.map_or(Condition::Absent, Condition::At);
-        let written = self.agent.platform.put(LEASE, value.into(), condition);
+        let written = self
+            .agent
+            .platform
+            .put(LEASE_OBJECT, value.into(), condition);
         match written.await {
             Ok(revision) => {
-                let held = self.lease.held(Instant::now()).is_some();
+                let was_held = self.lease.held(Instant::now()).is_some();
                 self.lease.written(Instant::now(), revision);
-                if !held {
+                if !was_held {
                     log::info!("event=lease_acquired token={}", record.token.get());
                 }
                 Ok(())
@@ -175,11 +188,12 @@
         }
     }
 
-    /// Takes the next step towards equal shares, if this agent holds the lease.
-    async fn divide(&mut self) {
+    /// Publishes the next share table on the way to equal shares, if this agent
+    /// holds the lease.
+    async fn advance_share_table(&mut self) {
         let Some(token) = self.lease.held(Instant::now()) else {
             self.absent_since.clear();
-            self.table_since = None;
+            self.table_seen_at = None;
             return;
         };
         let (stored, vms) = {
@@ -187,7 +201,7 @@
             let stored = state
                 .objects
                 .get(SHARE_TABLE)
-                .and_then(|e| Some((e.revision, decode_share_table(&e.value)?)));
+                .and_then(|entry| Some((entry.revision, decode_share_table(&entry.value)?)));
             (stored, state.vms.clone())
         };
         let (condition, table) = match stored {
@@ -198,7 +212,7 @@
             return;
         }
         if let Some(next) = self.next_table(token, &table, &vms).await {
-            self.publish(&next, condition).await;
+            self.publish_share_table(&next, condition).await;
         }
     }
 
@@ -209,13 +223,13 @@
         vms: &[VmRecord],
     ) -> Option<ShareTable> {
         if table.token() < token && table.version() > 0 {
-            // The first write under a new token makes any write that the
-            // former holder still has under way fail.
+            // The first write under a new token changes the revision, so a
+            // write that the previous holder has still in flight fails.
             return Some(table.with_token(token));
         }
         let now = Instant::now();
         let presence = self.presence(table, vms, now);
-        let table_since = self.since(table.version(), now);
+        let table_since = self.table_first_seen(table.version(), now);
         let mut acks = BTreeMap::new();
         loop {
             let view = AllocatorView {
@@ -232,7 +246,7 @@
                     log::debug!("event=share_table_waits vm={vm}");
                     return None;
                 }
-                TableStep::Wait { .. } => acks = self.ask_for_acks(vms).await,
+                TableStep::Wait { .. } => acks = self.collect_acks(vms).await,
             }
             if acks.is_empty() {
                 return None;
@@ -240,28 +254,28 @@
         }
     }
 
-    /// Takes the next step of the region weights, if this agent holds the
-    /// lease. Every candidate dates the steps, so that a new holder neither
-    /// steps early nor waits longer than it must.
-    async fn steer(&mut self) {
+    /// Publishes the next step of the region weights, if this agent holds the
+    /// lease. Every candidate records when each step appeared, so that a new
+    /// holder neither takes the next step early nor waits longer than needed.
+    async fn advance_weights(&mut self) {
         let stored = {
             let state = self.agent.state();
-            if state.objects.revision() > self.view.revision {
-                self.view = InForce::build(&state.objects, &self.view);
+            if state.objects.revision() > self.in_force.revision {
+                self.in_force = InForce::build(&state.objects, &self.in_force);
             }
             state.objects.get(STEERING).map(|entry| entry.revision)
         };
         let now = Instant::now();
-        let table = &self.view.steering;
-        let since = match self.step_since {
+        let table = &self.in_force.steering;
+        let since = match self.step_seen_at {
             Some((step, since)) if step == table.step => since,
             _ => now,
         };
-        self.step_since = Some((table.step, since));
+        self.step_seen_at = Some((table.step, since));
         let Some(token) = self.lease.held(now) else {
             return;
         };
-        let Some(config) = self.view.config.clone() else {
+        let Some(config) = self.in_force.config.clone() else {
             return;
         };
         if token.check(table.token).is_err() {
@@ -269,12 +283,12 @@
         }
         let next = if table.token < token {
             // As with the share table, the first write under a new token
-            // makes any write of the former holder fail.
+            // makes writes of the previous holder fail.
             let mut table = table.clone();
             table.token = token;
             Some(table)
         } else {
-            table.next(&config, self.view.drains(), Some(since), now)
+            table.next(&config, self.in_force.drains(), Some(since), now)
         };
         let Some(next) = next else { return };
         let condition = stored.map_or(Condition::Absent, Condition::At);
@@ -291,7 +305,7 @@
         }
     }
 
-    async fn publish(&mut self, next: &ShareTable, condition: Condition) {
+    async fn publish_share_table(&mut self, next: &ShareTable, condition: Condition) {
         let value = Bytes::from(encode_share_table(next));
         match self.agent.platform.put(SHARE_TABLE, value, condition).await {
             Ok(_) => log::info!(
@@ -303,6 +317,7 @@
         }
     }
 
+    /// Presence of each VM that is in the platform's list or in the share table.
     fn presence(
         &mut self,
         table: &ShareTable,
@@ -312,12 +327,12 @@
         let mut presence: BTreeMap<VmName, Presence> = vms
             .iter()
             .map(|vm| {
-                let present = if vm.is_live() {
+                let state = if vm.is_live() {
                     Presence::Live
                 } else {
                     Presence::Leaving
                 };
-                (vm.name.clone(), present)
+                (vm.name.clone(), state)
             })
             .collect();
         self.absent_since.retain(|vm, _| !presence.contains_key(vm));
@@ -330,23 +345,24 @@
         presence
     }
 
-    fn since(&mut self, version: u64, now: Instant) -> Instant {
-        match self.table_since {
+    /// When this agent first saw `version` of the share table.
+    fn table_first_seen(&mut self, version: u64, now: Instant) -> Instant {
+        match self.table_seen_at {
             Some((known, since)) if known == version => since,
             _ => {
-                self.table_since = Some((version, now));
+                self.table_seen_at = Some((version, now));
                 now
             }
         }
     }
 
-    /// Which version of the table is in effect on each VM that answers.
-    async fn ask_for_acks(&mut self, vms: &[VmRecord]) -> BTreeMap<VmName, u64> {
+    /// Version of the share table that is in effect on each VM that replies.
+    async fn collect_acks(&mut self, vms: &[VmRecord]) -> BTreeMap<VmName, u64> {
         let port = self.agent.settings.ports.agent_peer;
         let local = self.agent.settings.address;
         self.links
             .retain(|name, _| vms.iter().any(|vm| vm.name == *name));
-        let mut answers: FuturesUnordered<_> = vms
+        let mut replies: FuturesUnordered<_> = vms
             .iter()
             .map(|vm| {
                 let address = SocketAddr::new(vm.address, port);
@@ -356,18 +372,20 @@
                     None => PeerLink::new(address, Some(local)),
                 };
                 self.links.insert(vm.name.clone(), (address, link.clone()));
-                ask_for_ack(vm.name.clone(), link)
+                request_ack(vm.name.clone(), link)
             })
             .collect();
         let mut acks = BTreeMap::new();
-        while let Some(answer) = answers.next().await {
-            acks.extend(answer);
+        while let Some(ack) = replies.next().await {
+            acks.extend(ack);
         }
         acks
     }
 }
 
-async fn ask_for_ack(vm: VmName, link: PeerLink) -> Option<(VmName, u64)> {
+/// Asks the agent of `vm` which version of the share table is in effect; `None`
+/// without a valid reply.
+async fn request_ack(vm: VmName, link: PeerLink) -> Option<(VmName, u64)> {
     let request = Body::StatusRequest(StatusRequest {});
     match link.call(request, STATUS_TIMEOUT).await {
         Ok(Body::StatusReply(reply)) if reply.vm == vm.as_str() => {
@@ -377,7 +395,7 @@
     }
 }
 
-/// The lease as it is stored.
+/// Stored form of the lease.
 #[derive(Serialize, Deserialize)]
 struct LeaseFile {
     holder: Option<String>,
--- a/crates/filbertgrade/src/process/agent/dump.rs
+++ b/crates/filbertgrade/src/process/agent/dump.rs
@@ -1,4 +1,4 @@
-//! What the agent's operator port shows.
+//! Readiness, gauges and JSON state on the agent's operator port.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,28 +9,32 @@
 use crate::process::operator::OperatorPort;
 use crate::sync::lock;
 
-/// Makes the operator port of the agent.
+/// Creates the operator port of the agent. The agent is ready once it holds a
+/// revision of the store.
 pub(crate) fn operator_port(agent: &Arc<Agent>) -> OperatorPort {
     let (ready, gauges) = (Arc::clone(agent), Arc::clone(agent));
     let (process, regions, vms) = (Arc::clone(agent), Arc::clone(agent), Arc::clone(agent));
     OperatorPort::new(move || match *ready.revision.borrow() {
-        0 => Err("no revision is held"),
+        0 => Err("no state has been received from the store or a peer"),
         _ => Ok(()),
     })
     .gauges(move || set_gauges(&gauges))
-    .part("process", move || describe(&process))
-    .part("regions", move || freshness(&regions))
-    .part("vms", move || listed(&vms))
+    .part("process", move || process_state(&process))
+    .part("regions", move || region_evidence(&regions))
+    .part("vms", move || vm_list(&vms))
 }
 
 fn set_gauges(agent: &Agent) {
     let vm = agent.settings.vm.to_string();
-    let valid = agent.state().valid_for(Instant::now()).unwrap_or_default();
+    let validity = agent
+        .state()
+        .remaining_validity(Instant::now())
+        .unwrap_or_default();
     metrics::gauge!("agent_revision", "vm" => vm.clone()).set(*agent.revision.borrow() as f64);
-    metrics::gauge!("agent_valid_seconds", "vm" => vm).set(valid.as_secs_f64());
+    metrics::gauge!("agent_valid_seconds", "vm" => vm).set(validity.as_secs_f64());
 }
 
-fn describe(agent: &Agent) -> Value {
+fn process_state(agent: &Agent) -> Value {
     let report = lock(&agent.report);
     let report = report.clone();
     let reported_at = *lock(&agent.reported_at);
@@ -42,15 +46,15 @@
         "failure_domain": agent.settings.failure_domain.as_str(),
         "revision": state.objects.revision(),
         "objects": state.objects.len(),
-        // Null while the agent knows too little to judge.
-        "valid_ms": state.valid_for(Instant::now()).map(millis),
+        // Null while the agent has too little evidence to decide.
+        "valid_ms": state.remaining_validity(Instant::now()).map(millis),
         "entry_revision": report.as_ref().map(|report| report.revision),
         "entry_config_version": report.as_ref().map(|report| report.config_version),
         "entry_reported_ms_ago": reported_at.map(|at| millis(at.elapsed())),
     })
 }
 
-fn freshness(agent: &Agent) -> Value {
+fn region_evidence(agent: &Agent) -> Value {
     let state = agent.state();
     let ages = state
         .freshness
@@ -67,7 +71,7 @@
     Value::Array(regions.collect())
 }
 
-fn listed(agent: &Agent) -> Value {
+fn vm_list(agent: &Agent) -> Value {
     let state = agent.state();
     let vms = state.vms.iter().map(|vm| {
         json!({
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent: watches the platform, exchanges state with peer agents and
-//! feeds the entry of its VM.
+//! The agent process of a VM. It watches the store, exchanges state with the
+//! agents of other VMs and passes the state on to the entry of its own VM.
 
 mod allocator;
 mod dump;
@@ -28,22 +28,24 @@
 use crate::version::{OutgoingDeltas, VmRecord};
 use crate::wire::EntryReport;
 
-/// Longest wait before the entry's request for state is answered.
+/// Maximum delay of the reply to the entry's request for newer state.
 ///
-/// The answer renews how long the state is valid, so it must come well within
-/// the freshness bound.
+/// The reply also renews the validity of the state, so it must be sent well
+/// before the maximum age of evidence is reached.
 pub const FEED_WAIT: Duration = Duration::from_millis(250);
 
-/// Time from the first state until this agent vouches for it. The state may
-/// come from a replica or a peer that is behind, and in this time the agent
-/// hears from every kind of peer: a round starts within 250 ms and takes about
-/// 110 ms. With 1 s, an agent that restarted early in an outage of the store
-/// let the validity at its entry run out.
-const JOIN_WAIT: Duration = Duration::from_millis(500);
+/// Time from receiving the first state until this agent reports it as valid.
+///
+/// The first state may come from a replica or a peer that lags behind. Within
+/// this time the agent receives replies from peers in its failure domain, its
+/// region and other regions: a round starts within 250 ms and takes about
+/// 110 ms. With 1 s, the validity at the entry expired when its agent restarted
+/// early in an outage of the store.
+const VALIDITY_DELAY: Duration = Duration::from_millis(500);
 
-/// Changes that an agent keeps for peers that are behind. A peer that missed
-/// more gets a snapshot.
-const CHANGE_LOG: usize = 4096;
+/// Number of changes that an agent keeps for peers that lag behind. A peer that
+/// missed more of them receives a snapshot.
+const MAX_LOGGED_CHANGES: usize = 4096;
 
 /// Why the agent stopped.
 #[derive(Debug, thiserror::Error)]
@@ -52,69 +54,71 @@
     /// An address cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address that the agent was to listen on.
         address: SocketAddr,
-        /// The cause.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// State of the agent that all its tasks share.
+/// State that all tasks of the agent share.
 #[derive(Debug)]
 pub(crate) struct Agent {
     pub(crate) settings: NodeSettings,
     pub(crate) platform: Arc<dyn Platform>,
     state: Mutex<State>,
-    /// Agents that pulled while there was no VM list, the newest first.
-    pub(crate) pullers: Mutex<Vec<VmRecord>>,
-    /// Deltas to peers and to the entry that take more than one page.
+    /// VMs whose agents pulled from this one while it had no VM list, the most
+    /// recent first.
+    pub(crate) recent_pullers: Mutex<Vec<VmRecord>>,
+    /// Deltas of more than one page that are being sent to peers or to the entry.
     pub(crate) outgoing: Mutex<OutgoingDeltas>,
-    /// Held while a delta of more than one page comes in, so that the same
-    /// objects do not come from several peers at once.
-    pub(crate) transfer: tokio::sync::Mutex<()>,
-    /// Revision held; tasks wait for it to grow.
+    /// Locked while a delta of more than one page is being received, so that the
+    /// same objects are not requested from several peers at once.
+    pub(crate) incoming_transfer: tokio::sync::Mutex<()>,
+    /// Revision of the held objects; tasks wait here for a higher one.
     pub(crate) revision: watch::Sender<Revision>,
-    /// Last report of the entry.
+    /// Last report of the entry; `None` before the first.
     pub(crate) report: Mutex<Option<EntryReport>>,
-    /// When the entry reported last.
+    /// When the last report of the entry arrived.
     pub(crate) reported_at: Mutex<Option<Instant>>,
 }
 
-/// What is known of the store and of the fleet.
+/// Objects of the store, and evidence of how current they are.
 #[derive(Debug)]
 pub(crate) struct State {
-    /// Never moves to a lower revision.
+    /// Objects of the store. The revision never decreases.
     pub(crate) objects: VersionedMap<Bytes>,
+    /// Evidence on the store and the other regions.
     pub(crate) freshness: FreshnessTracker,
-    /// VMs of the platform's list; kept in step with `objects`.
+    /// VMs in the platform's list; updated together with `objects`.
     pub(crate) vms: Vec<VmRecord>,
-    /// What follows from `vms`; kept in step with it.
+    /// Role of this agent among `vms`; updated together with them.
     pub(crate) topology: Topology,
-    /// When this agent first held anything.
-    held_since: Option<Instant>,
-    /// Name of the own VM.
+    /// When this agent received its first state.
+    first_state_at: Option<Instant>,
+    /// Name of the VM that this agent runs on.
     vm: VmName,
 }
 
-/// The agent's place among the VMs of the platform's list.
+/// Peers and duties of this agent, derived from the platform's VM list.
 ///
-/// Finding it takes time in proportion to the list, so it is kept until the
-/// list changes.
+/// Deriving them takes time proportional to the length of the list, so they are
+/// cached until the list changes.
 #[derive(Debug, Default)]
 pub(crate) struct Topology {
-    /// VMs to pull from.
+    /// VMs from whose agents this agent pulls.
     pub(crate) neighbours: Vec<VmRecord>,
-    /// The agent watches the store.
-    pub(crate) relay: bool,
-    /// The agent tries to hold the allocator lease.
-    pub(crate) allocator_candidate: bool,
-    /// Regions with live VMs.
+    /// Whether this agent watches the store for its failure domain.
+    pub(crate) is_relay: bool,
+    /// Whether this agent tries to acquire the allocator lease.
+    pub(crate) is_allocator_candidate: bool,
+    /// Regions that have live VMs.
     live_regions: BTreeSet<RegionName>,
 }
 
 impl Topology {
-    fn find(me: &Member, vms: &[VmRecord]) -> Self {
-        let members: Vec<Member> = vms.iter().filter_map(member).collect();
+    fn of_agent(me: &Member, vms: &[VmRecord]) -> Self {
+        let members: Vec<Member> = vms.iter().filter_map(live_member).collect();
         let chosen: BTreeSet<_> = dissemination::neighbours(me, &members)
             .into_iter()
             .map(|member| &member.vm)
@@ -126,8 +130,8 @@
                 .filter(|vm| chosen.contains(&vm.name))
                 .cloned()
                 .collect(),
-            relay: members.is_empty() || dissemination::is_relay(me, &members),
-            allocator_candidate: allocator::is_candidate(&me.vm, live()),
+            is_relay: members.is_empty() || dissemination::is_relay(me, &members),
+            is_allocator_candidate: allocator::is_candidate(&me.vm, live()),
             live_regions: live().map(|vm| vm.region.clone()).collect(),
         }
     }
@@ -136,20 +140,20 @@
 impl Agent {
     fn new(settings: NodeSettings, platform: Arc<dyn Platform>) -> Self {
         let state = State {
-            objects: VersionedMap::new(CHANGE_LOG),
+            objects: VersionedMap::new(MAX_LOGGED_CHANGES),
             freshness: FreshnessTracker::new(settings.region.clone()),
             vms: Vec::new(),
             topology: Topology::default(),
-            held_since: None,
+            first_state_at: None,
             vm: settings.vm.clone(),
         };
         Self {
             settings,
             platform,
             state: Mutex::new(state),
-            pullers: Mutex::default(),
+            recent_pullers: Mutex::default(),
             outgoing: Mutex::default(),
-            transfer: tokio::sync::Mutex::default(),
+            incoming_transfer: tokio::sync::Mutex::default(),
             revision: watch::Sender::new(0),
             report: Mutex::new(None),
             reported_at: Mutex::new(None),
@@ -160,8 +164,9 @@
         lock(&self.state)
     }
 
-    /// Changes the object map and wakes those that wait for a newer revision.
-    pub(crate) fn advance(
+    /// Applies an update to the objects and wakes the tasks that wait for a
+    /// higher revision.
+    pub(crate) fn apply_update(
         &self,
         apply: impl FnOnce(&mut VersionedMap<Bytes>) -> Result<Applied, MalformedError>,
     ) -> Result<Applied, MalformedError> {
@@ -169,10 +174,10 @@
         let applied = apply(&mut state.objects)?;
         if let Applied::Advanced(names) = &applied {
             if names.iter().any(|name| name.starts_with("vms/")) {
-                state.vms = listed_vms(&state.objects);
-                state.topology = Topology::find(&self.me(), &state.vms);
+                state.vms = decode_vm_list(&state.objects);
+                state.topology = Topology::of_agent(&self.as_member(), &state.vms);
             }
-            state.held_since.get_or_insert_with(Instant::now);
+            state.first_state_at.get_or_insert_with(Instant::now);
             let held = state.objects.revision();
             state.freshness.hold(held);
             self.revision.send_replace(held);
@@ -180,7 +185,8 @@
         Ok(applied)
     }
 
-    pub(crate) fn me(&self) -> Member {
+    /// This agent as a member of the dissemination.
+    pub(crate) fn as_member(&self) -> Member {
         Member {
             vm: self.settings.vm.clone(),
             region: self.settings.region.clone(),
@@ -190,18 +196,18 @@
 }
 
 impl State {
-    /// How much longer the state may be relied on; zero when isolated. `None`
-    /// while this agent knows too little to judge.
-    pub(crate) fn valid_for(&self, now: Instant) -> Option<Duration> {
-        let alone = !self.vms.iter().any(|vm| vm.is_live() && vm.name != self.vm);
-        let held_since = self.held_since?;
-        if !alone && now < held_since + JOIN_WAIT {
+    /// Remaining time for which the state is valid; zero when isolated. `None`
+    /// while this agent has too little evidence to decide.
+    pub(crate) fn remaining_validity(&self, now: Instant) -> Option<Duration> {
+        let no_other_live_vm = !self.vms.iter().any(|vm| vm.is_live() && vm.name != self.vm);
+        let first_state_at = self.first_state_at?;
+        if !no_other_live_vm && now < first_state_at + VALIDITY_DELAY {
             return None;
         }
         let held = self.objects.revision();
         let until = self
             .freshness
-            .freshness(now, held, &self.topology.live_regions, alone)
+            .freshness(now, held, &self.topology.live_regions, no_other_live_vm)
             .valid_until();
         Some(until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now)))
     }
@@ -221,30 +227,32 @@
     let platform = Arc::new(HttpPlatform::new(settings.store, Some(settings.address)));
     let agent = Arc::new(Agent::new(settings, platform));
     let address = SocketAddr::new(agent.settings.address, agent.settings.ports.agent_operator);
-    let operators = operator::listen(address)
+    let operator_listener = operator::listen(address)
         .await
         .map_err(|source| AgentError::Listen { address, source })?;
     operator::record_metrics();
-    tokio::spawn(dump::operator_port(&agent).serve(operators));
+    tokio::spawn(dump::operator_port(&agent).serve(operator_listener));
     tokio::spawn(store::follow_store(Arc::clone(&agent)));
     tokio::spawn(pull::pull_from_peers(Arc::clone(&agent)));
     tokio::spawn(allocator::run(Arc::clone(&agent)));
     serve_frames(listener, move |peer, body| {
-        peers::answer(Arc::clone(&agent), peer, body)
+        peers::handle(Arc::clone(&agent), peer, body)
     })
     .await;
     Ok(())
 }
 
-fn listed_vms(objects: &VersionedMap<Bytes>) -> Vec<VmRecord> {
+/// Decodes the platform's VM list from the objects. Malformed entries are
+/// skipped.
+fn decode_vm_list(objects: &VersionedMap<Bytes>) -> Vec<VmRecord> {
     objects
         .prefix("vms/")
         .filter_map(|(_, entry)| VmRecord::decode(&entry.value))
         .collect()
 }
 
-/// A VM that stays, as a member of the exchange.
-fn member(vm: &VmRecord) -> Option<Member> {
+/// The VM as a member of the dissemination; `None` when it is leaving.
+fn live_member(vm: &VmRecord) -> Option<Member> {
     vm.is_live().then(|| Member {
         vm: vm.name.clone(),
         region: vm.region.clone(),
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -1,4 +1,4 @@
-//! Answers peer agents and the entry of the own VM.
+//! Handles messages of peer agents and of the entry on the same VM.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -13,29 +13,33 @@
     Body, EntryReport, Feed, FeedRequest, Pull, PullReply, RegionEvidence, StatusReply,
 };
 
-/// The entry reports after every feed, at least every [`FEED_WAIT`]. Without a
-/// report for this time it is not running, and what it held counts for nothing.
-const ENTRY_SILENT_AFTER: Duration = Duration::from_secs(2);
+/// Time after the last report from which the entry is considered stopped, so
+/// that its report is no longer valid. A running entry reports after every
+/// feed, at least every [`FEED_WAIT`].
+const ENTRY_REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Shortest wait of a feed, which bounds the calls of the entry.
-const SHORTEST_WAIT: Duration = Duration::from_millis(20);
+/// Minimum time until a feed without changes is sent. It limits the rate of
+/// the entry's requests.
+const MIN_FEED_WAIT: Duration = Duration::from_millis(20);
 
-/// Pullers remembered while there is no VM list. They are asked in turn, so a
-/// few are enough to find one that is up to date.
-const MOST_PULLERS: usize = 8;
+/// Maximum number of pullers that are remembered while there is no VM list. This
+/// agent pulls from them in turn, so a few are enough to find one that is up to
+/// date.
+const MAX_RECENT_PULLERS: usize = 8;
 
-/// Receiver of deltas to the entry. It is no name of a VM.
-const OWN_ENTRY: &str = "";
+/// Receiver name of deltas to the entry. It cannot be the name of a VM.
+const LOCAL_ENTRY: &str = "";
 
-pub(crate) async fn answer(agent: Arc<Agent>, peer: SocketAddr, body: Body) -> Option<Body> {
+/// Handles one message and returns the reply, if the message has one.
+pub(crate) async fn handle(agent: Arc<Agent>, peer: SocketAddr, body: Body) -> Option<Body> {
     match body {
-        Body::FeedRequest(hello) => Some(Body::Feed(feed(&agent, &hello).await)),
+        Body::FeedRequest(request) => Some(Body::Feed(feed(&agent, &request).await)),
         Body::EntryReport(report) => {
-            note_report(&agent, report);
+            record_report(&agent, report);
             None
         }
         Body::Pull(pull) => {
-            note_puller(&agent, peer.ip(), &pull);
+            record_puller(&agent, peer.ip(), &pull);
             Some(Body::PullReply(pull_reply(&agent, &pull)))
         }
         Body::StatusRequest(_) => Some(Body::StatusReply(status(&agent))),
@@ -43,46 +47,57 @@
     }
 }
 
-async fn feed(agent: &Agent, hello: &FeedRequest) -> Feed {
-    let asked = Instant::now();
+/// Waits for a revision above that of the request, and returns the changes and
+/// the remaining validity.
+async fn feed(agent: &Agent, request: &FeedRequest) -> Feed {
+    let requested_at = Instant::now();
     let mut revision = agent.revision.subscribe();
-    let newer = revision.wait_for(|held| *held > hello.revision);
-    // A feed that is late in a short validity would leave a gap before the next.
-    let wait = match agent.state().valid_for(asked) {
+    let newer = revision.wait_for(|held| *held > request.revision);
+    // With a short validity, a feed that is sent late would leave a gap before
+    // the next one.
+    let wait = match agent.state().remaining_validity(requested_at) {
         Some(valid) if valid > Duration::ZERO => FEED_WAIT.min(valid / 4),
         _ => FEED_WAIT,
     };
-    let _ = tokio::time::timeout(wait.max(SHORTEST_WAIT), newer).await;
+    let _ = tokio::time::timeout(wait.max(MIN_FEED_WAIT), newer).await;
     let mut state = agent.state();
     let now = Instant::now();
-    let valid = if state.objects.revision() < hello.revision {
-        // This agent was restarted and has not caught up with its entry.
-        state.freshness.exists(hello.revision);
+    let valid = if state.objects.revision() < request.revision {
+        // This agent was restarted and its state is still older than that of
+        // its entry.
+        state.freshness.exists(request.revision);
         None
     } else {
-        // The entry counts the validity from its request.
-        state.valid_for(now).map(|left| match left {
+        // The entry counts the validity from the time of its request, so the
+        // time since then is added.
+        state.remaining_validity(now).map(|left| match left {
             Duration::ZERO => left,
-            left => left + now.saturating_duration_since(asked),
+            left => left + now.saturating_duration_since(requested_at),
         })
     };
     let mut outgoing = lock(&agent.outgoing);
     Feed {
-        delta: outgoing.page(&state.objects, OWN_ENTRY, hello.revision, hello.resume, now),
+        delta: outgoing.page(
+            &state.objects,
+            LOCAL_ENTRY,
+            request.revision,
+            request.resume,
+            now,
+        ),
         valid_ms: valid.map(|valid| valid.as_millis().try_into().unwrap_or(u32::MAX)),
         revision: state.objects.revision(),
     }
 }
 
-fn note_report(agent: &Agent, report: EntryReport) {
+fn record_report(agent: &Agent, report: EntryReport) {
     let mut last = lock(&agent.report);
     *last = Some(report);
     *lock(&agent.reported_at) = Some(Instant::now());
 }
 
-/// Remembers who pulls while this agent has no VM list: a VM that comes back
-/// without state during an outage of the store gets it from these peers.
-fn note_puller(agent: &Agent, address: IpAddr, pull: &Pull) {
+/// Remembers which VMs pull while this agent has no VM list. A VM that restarts
+/// without state during an outage of the store gets the state from these peers.
+fn record_puller(agent: &Agent, address: IpAddr, pull: &Pull) {
     if !agent.state().vms.is_empty() {
         return;
     }
@@ -93,9 +108,9 @@
     ) else {
         return;
     };
-    let mut pullers = lock(&agent.pullers);
+    let mut pullers = lock(&agent.recent_pullers);
     pullers.retain(|known: &VmRecord| known.name != name);
-    pullers.truncate(MOST_PULLERS - 1);
+    pullers.truncate(MAX_RECENT_PULLERS - 1);
     pullers.insert(
         0,
         VmRecord {
@@ -130,6 +145,7 @@
     }
 }
 
+/// The evidence of the region with the most recent confirmation.
 fn newest_confirmation(ages: Vec<RegionAges>) -> Option<RegionAges> {
     let confirmed = ages.into_iter().filter(|ages| ages.confirmed.is_some());
     confirmed.min_by_key(|ages| ages.confirmed.map(|(age, _)| age))
@@ -137,12 +153,12 @@
 
 fn status(agent: &Agent) -> StatusReply {
     let age = lock(&agent.reported_at).map(|at| at.elapsed());
-    let connected = age.is_some_and(|age| age <= ENTRY_SILENT_AFTER);
+    let is_connected = age.is_some_and(|age| age <= ENTRY_REPORT_TIMEOUT);
     let report = lock(&agent.report);
     StatusReply {
         vm: agent.settings.vm.to_string(),
         agent_revision: *agent.revision.borrow(),
-        entry: report.clone().filter(|_| connected),
+        entry: report.clone().filter(|_| is_connected),
         traffic: Some(traffic::total()),
     }
 }
@@ -165,8 +181,8 @@
     type Error = filbertgrade_coord::names::NameError;
 
     fn try_from(evidence: RegionEvidence) -> Result<Self, Self::Error> {
-        // Ages are rounded down to whole milliseconds on the wire, so one is
-        // added: evidence must never look younger than it is.
+        // The sender rounds ages down to whole milliseconds, so one is added:
+        // evidence must never appear younger than it is.
         let age = |ms: u32| Duration::from_millis(u64::from(ms) + 1);
         Ok(Self {
             region: evidence.region.as_str().try_into()?,
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -1,4 +1,4 @@
-//! Pulls newer state from peer agents.
+//! Pulls newer state and evidence from peer agents.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,24 +9,27 @@
 use filbertgrade_coord::freshness::RegionAges;
 use filbertgrade_coord::names::VmName;
 
-use super::{Agent, lock, member};
+use super::{Agent, live_member, lock};
 use crate::connection::PeerLink;
 use crate::logfmt;
 use crate::version::{IncomingDelta, VmRecord, apply_delta};
 use crate::wire::{Body, Delta, Pull, PullReply};
 
 /// Time between two rounds.
-const PULL_PERIOD: Duration = Duration::from_millis(250);
+const PULL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two rounds without a VM list, when the entry waits for state.
-const LONE_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two rounds without a VM list. It is shorter, because the entry
+/// cannot serve requests until it has received state.
+const PULL_INTERVAL_WITHOUT_VM_LIST: Duration = Duration::from_millis(50);
 
-/// Peers of one round. One of them in turn is asked for the evidence of all
-/// regions, which is most of a reply in a large fleet; the others give the
-/// newest confirmation, on which freshness depends while the store answers.
-const PEERS: u64 = 3;
+/// Number of peers in one round. One of them, in turn, is asked for the evidence
+/// of all regions, which makes up most of a reply in a large fleet. The others
+/// send only the newest confirmation, which is enough for freshness while the
+/// store responds.
+const PEERS_PER_ROUND: u64 = 3;
 
-/// Time for one answer; a peer in another region answers within about 110 ms.
+/// Maximum time to wait for one reply. A peer in another region replies within
+/// about 110 ms.
 const PULL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pulls from up to three peers in every round.
@@ -34,18 +37,23 @@
     let seed = rand::random();
     let mut links: HashMap<VmName, (VmRecord, PeerLink)> = HashMap::new();
     for round in 0.. {
-        let lone = agent.state().vms.is_empty();
-        tokio::time::sleep(if lone { LONE_PERIOD } else { PULL_PERIOD }).await;
+        let no_vm_list = agent.state().vms.is_empty();
+        tokio::time::sleep(if no_vm_list {
+            PULL_INTERVAL_WITHOUT_VM_LIST
+        } else {
+            PULL_INTERVAL
+        })
+        .await;
         let peers = {
             let state = agent.state();
             let vms = if state.vms.is_empty() {
-                lock(&agent.pullers).clone()
+                lock(&agent.recent_pullers).clone()
             } else {
                 state.topology.neighbours.clone()
             };
             drop(state);
-            let members: Vec<Member> = vms.iter().filter_map(member).collect();
-            let names = pull_peers(&agent.me(), &members, round, seed);
+            let members: Vec<Member> = vms.iter().filter_map(live_member).collect();
+            let names = pull_peers(&agent.as_member(), &members, round, seed);
             links.retain(|name, _| vms.iter().any(|vm| vm.name == *name));
             vms.iter()
                 .filter(|vm| names.contains(&vm.name))
@@ -54,12 +62,13 @@
         };
         for (n, peer) in (0..).zip(peers) {
             let link = link_to(&agent, &mut links, &peer);
-            let all_regions = n == round % PEERS;
+            let all_regions = n == round % PEERS_PER_ROUND;
             tokio::spawn(pull_once(Arc::clone(&agent), link, peer, all_regions));
         }
     }
 }
 
+/// The link to `peer`. It is replaced when the address of the VM has changed.
 fn link_to(
     agent: &Agent,
     links: &mut HashMap<VmName, (VmRecord, PeerLink)>,
@@ -76,12 +85,13 @@
     link
 }
 
-/// Pulls once, or until a delta of several pages is complete.
+/// Pulls from one peer: once, or until a delta of several pages is complete. Only
+/// one task at a time receives such a delta.
 async fn pull_once(agent: Arc<Agent>, link: PeerLink, peer: VmRecord, all_regions: bool) {
     let mut incoming = IncomingDelta::default();
     let mut transfer = None;
     loop {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let pull = Pull {
             vm: agent.settings.vm.to_string(),
             revision: *agent.revision.borrow(),
@@ -89,10 +99,10 @@
             region: agent.settings.region.to_string(),
             failure_domain: agent.settings.failure_domain.to_string(),
             newest_confirmation_only: !all_regions,
-            one_page_only: transfer.is_none() && agent.transfer.try_lock().is_err(),
+            one_page_only: transfer.is_none() && agent.incoming_transfer.try_lock().is_err(),
         };
         match link.call(Body::Pull(pull), PULL_TIMEOUT).await {
-            Ok(Body::PullReply(reply)) => take_reply(&agent, &mut incoming, reply, &peer, sent),
+            Ok(Body::PullReply(reply)) => apply_reply(&agent, &mut incoming, reply, &peer, sent_at),
             Ok(_) => {
                 log::warn!("event=pull_misanswered peer={}", peer.name);
                 return;
@@ -110,7 +120,7 @@
             return;
         }
         if transfer.is_none() {
-            transfer = agent.transfer.try_lock().ok();
+            transfer = agent.incoming_transfer.try_lock().ok();
         }
         if transfer.is_none() {
             return;
@@ -118,15 +128,15 @@
     }
 }
 
-fn take_reply(
+fn apply_reply(
     agent: &Agent,
     incoming: &mut IncomingDelta,
     reply: PullReply,
     peer: &VmRecord,
-    sent: Instant,
+    sent_at: Instant,
 ) {
     if let Some(page) = reply.delta
-        && let Err(error) = take_page(agent, incoming, page)
+        && let Err(error) = apply_page(agent, incoming, page)
     {
         log::warn!(
             "event=pull_rejected peer={} error={}",
@@ -141,19 +151,20 @@
         .filter_map(|evidence| evidence.try_into().ok())
         .collect();
     let mut state = agent.state();
-    state.freshness.hear(sent, &peer.region, reply.revision);
-    state.freshness.absorb(sent, &ages);
+    state.freshness.hear(sent_at, &peer.region, reply.revision);
+    state.freshness.absorb(sent_at, &ages);
     let held = state.objects.revision();
     state.freshness.hold(held);
 }
 
-fn take_page(
+/// Adds a page to the incoming delta, and applies the delta once it is complete.
+fn apply_page(
     agent: &Agent,
     incoming: &mut IncomingDelta,
     page: Delta,
 ) -> Result<(), Box<dyn std::error::Error>> {
     if let Some(delta) = incoming.take(page)? {
-        agent.advance(|objects| apply_delta(objects, delta))?;
+        agent.apply_update(|objects| apply_delta(objects, delta))?;
     }
     Ok(())
 }
--- a/crates/filbertgrade/src/wire/loans.rs
+++ b/crates/filbertgrade/src/wire/loans.rs
@@ -1,4 +1,4 @@
-//! Conversions between the ledger's types and their messages.
+//! Conversions between the ledger's types and the messages about loans.
 
 use filbertgrade_coord::bucket::{RateShare, RateShareError};
 use filbertgrade_coord::ledger::{
@@ -12,13 +12,13 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum LoanMessageError {
-    /// The request or the loan is not named.
-    #[error("the message names no loan")]
+    /// The id of the loan or of the loan request is missing.
+    #[error("the id of the loan or of the loan request is missing")]
     MissingId,
-    /// A name is malformed.
+    /// A team or VM name is malformed.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// A rate or burst is malformed.
+    /// The rate or burst is malformed.
     #[error(transparent)]
     Share(#[from] RateShareError),
 }
@@ -69,7 +69,7 @@
 }
 
 impl LoanMessage {
-    /// The loan that answers `request`; `None` when nothing was lent.
+    /// Converts the reply to `request` to a loan; `None` when nothing was lent.
     pub(crate) fn into_loan(self, request: &LoanRequest) -> Result<Option<Loan>, LoanMessageError> {
         let Some(id) = self.id else {
             return Ok(None);
@@ -110,9 +110,9 @@
 }
 
 impl From<RenewalReply> for LoanRenewed {
-    fn from(renewed: RenewalReply) -> Self {
+    fn from(reply: RenewalReply) -> Self {
         Self {
-            extended: renewed == RenewalReply::Extended,
+            extended: reply == RenewalReply::Extended,
         }
     }
 }
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between the system's own processes.
+//! Messages between the processes of the system: entries, agents and nodes.
 //!
-//! Each message is a prost structure of its own. Domain types are made from
-//! them with `TryFrom`, which checks every field.
+//! Each message is a separate prost structure. Domain types are converted from
+//! messages with `TryFrom`, which validates every field.
 
 mod loans;
 pub(crate) mod peer;
@@ -13,11 +13,12 @@
 /// One frame on a link: a request, its reply or a one-way message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// Number that the requesting side chose; a reply repeats it. 0 marks a
-    /// one-way message.
+    /// Number that the requesting side assigned to the call; the reply repeats
+    /// it. 0 marks a one-way message, which has no reply.
     #[prost(uint64, tag = "1")]
     pub call_id: u64,
-    /// The content.
+    /// Message that the frame holds. `None` when the sender uses a message
+    /// type that this version does not know.
     #[prost(
         oneof = "Body",
         tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20"
@@ -25,94 +26,94 @@
     pub body: Option<Body>,
 }
 
-/// Content of a [`Frame`].
+/// Message in a [`Frame`].
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// Entry to its agent: asks for the feed.
+    /// Entry to its agent: requests newer state.
     #[prost(message, tag = "2")]
     FeedRequest(FeedRequest),
-    /// Agent to its entry.
+    /// Agent to its entry: reply to [`FeedRequest`].
     #[prost(message, tag = "3")]
     Feed(Feed),
-    /// Entry to its agent.
+    /// Entry to its agent, one-way: what is in force in the entry.
     #[prost(message, tag = "4")]
     EntryReport(EntryReport),
-    /// Agent to agent: asks for newer state.
+    /// Agent to agent: requests newer state.
     #[prost(message, tag = "5")]
     Pull(Pull),
-    /// Answer to [`Pull`].
+    /// Reply to [`Pull`].
     #[prost(message, tag = "6")]
     PullReply(PullReply),
-    /// Asks an agent what it and its entry hold.
+    /// To an agent: requests the state of the agent and its entry.
     #[prost(message, tag = "7")]
     StatusRequest(StatusRequest),
-    /// Answer to [`StatusRequest`].
+    /// Reply to [`StatusRequest`].
     #[prost(message, tag = "8")]
     StatusReply(StatusReply),
-    /// Entry to entry: asks for a loan of rate and burst.
+    /// Entry to entry: requests a loan of rate, burst and tokens.
     #[prost(message, tag = "9")]
     Borrow(Borrow),
-    /// Answer to [`Borrow`].
+    /// Reply to [`Borrow`].
     #[prost(message, tag = "10")]
     Loan(LoanMessage),
-    /// Entry to entry: asks the lender to extend a loan.
+    /// Entry to entry: requests that the lender extend a loan.
     #[prost(message, tag = "11")]
     RenewLoan(RenewLoan),
-    /// Answer to [`RenewLoan`].
+    /// Reply to [`RenewLoan`].
     #[prost(message, tag = "12")]
     LoanRenewed(LoanRenewed),
-    /// Entry to entry: gives a loan back.
+    /// Entry to entry, one-way: returns a loan.
     #[prost(message, tag = "13")]
     ReturnLoan(ReturnLoan),
-    /// Entry to entry: asks a slot book for a slot.
+    /// Entry to entry: requests a slot from the owner of a slot pool.
     #[prost(message, tag = "14")]
     Acquire(Acquire),
-    /// Answer to [`Acquire`] and [`RenewPermit`].
+    /// Reply to [`Acquire`] and [`RenewPermit`] that grants the slot.
     #[prost(message, tag = "15")]
     Permit(Permit),
-    /// Answer to [`Acquire`] and [`RenewPermit`].
+    /// Reply to [`Acquire`] and [`RenewPermit`] that denies the slot.
     #[prost(message, tag = "16")]
     Denied(Denied),
     /// Entry to entry: extends a permit.
     #[prost(message, tag = "17")]
     RenewPermit(RenewPermit),
-    /// Entry to entry: frees a slot.
+    /// Entry to entry, one-way: frees a slot.
     #[prost(message, tag = "18")]
     Release(Release),
-    /// Node to node: asks for newer objects of the store.
+    /// Node to node: requests newer objects of the store.
     #[prost(message, tag = "19")]
     StorePull(StorePull),
-    /// Answer to [`StorePull`].
+    /// Reply to [`StorePull`].
     #[prost(message, tag = "20")]
     StoreUpdate(StoreUpdate),
 }
 
-/// Asks an agent for the feed of its VM.
+/// Request from an entry to its agent for newer state and its validity.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FeedRequest {
     /// Revision that the entry already holds.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The next page of a delta that the entry holds in part.
+    /// Where to continue a delta of which the entry has received some pages.
     #[prost(message, optional, tag = "2")]
     pub resume: Option<Resume>,
 }
 
-/// Asks for the next page of a delta.
+/// Position in a delta from which the next page is requested.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct Resume {
-    /// Revision that the delta starts from.
+    /// Revision before the delta.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// Revision that the delta leads to.
+    /// Revision after the delta.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// Objects of the delta that have arrived.
+    /// Number of objects of the delta that the receiver already holds.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
 }
 
-/// One object of the platform as it is passed on; no value marks a removal.
+/// One object of the platform's object API.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Object {
     /// Name in the platform's object API.
@@ -121,59 +122,61 @@
     /// Revision of the last change to this object.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Content.
+    /// Content; `None` when the object was removed.
     #[prost(bytes = "bytes", optional, tag = "3")]
     pub value: Option<bytes::Bytes>,
 }
 
-/// A change of state from one revision to a later one, or one page of it. The
-/// receiver holds revision `to` only once it has every page.
+/// One page of the changes between two revisions. The receiver is at revision
+/// `to` only after it has received every page.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Delta {
-    /// Revision that the receiver must hold, unless this is a snapshot.
+    /// Revision that the receiver must be at, unless this is a snapshot.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// Revision after the change.
+    /// Revision after the changes of all pages.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// Changed objects, or all objects in a full snapshot.
+    /// Objects of this page: those that changed, or in a snapshot those that
+    /// exist.
     #[prost(message, repeated, tag = "3")]
     pub objects: Vec<Object>,
-    /// The objects are all that exist at `to`, so others are removed.
+    /// Whether the pages together hold every object that exists at `to`. The
+    /// receiver then removes all others.
     #[prost(bool, tag = "4")]
     pub snapshot: bool,
-    /// Objects of the delta that come before those of this page.
+    /// Number of objects in the preceding pages.
     #[prost(uint64, tag = "5")]
     pub offset: u64,
-    /// Objects of all pages together.
+    /// Number of objects in all pages together.
     #[prost(uint64, tag = "6")]
     pub total: u64,
 }
 
-/// State from the agent to the entry.
+/// State that an agent sends to its entry.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Feed {
-    /// Change since the last feed, if there is one.
+    /// Changes after the revision of the request; `None` when there are none.
     #[prost(message, optional, tag = "1")]
     pub delta: Option<Delta>,
-    /// How long the state may be relied on, in milliseconds from the arrival
-    /// of the `FeedRequest`; 0 when the VM is isolated. Absent while the agent knows
-    /// too little to judge, as after a restart.
+    /// How long the state is valid, in milliseconds from the arrival of the
+    /// `FeedRequest`; 0 when the VM is isolated. `None` while the agent has too
+    /// little evidence to decide, for example after a restart.
     #[prost(uint32, optional, tag = "2")]
     pub valid_ms: Option<u32>,
-    /// Revision that the agent holds, and that `valid_ms` is about.
+    /// Revision that the agent holds and that `valid_ms` applies to.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
 }
 
-/// State from the entry to its agent.
+/// Report from an entry to its agent on what is in force.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryReport {
     /// Revision in force in the entry.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Version of the share table that is in effect in every ledger; absent
-    /// while a ledger still holds more than the table gives it.
+    /// Version of the share table that is in effect in every ledger; `None`
+    /// while a ledger still holds more than the table assigns to it.
     #[prost(uint64, optional, tag = "2")]
     pub share_table_version: Option<u64>,
     /// Version of the configuration in force.
@@ -181,72 +184,76 @@
     pub config_version: u64,
 }
 
-/// Asks a peer agent for newer state.
+/// Request to a peer agent for newer state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Pull {
-    /// Name of the asking VM.
+    /// Name of the requesting VM.
     #[prost(string, tag = "1")]
     pub vm: String,
-    /// Revision that the asking agent holds.
+    /// Revision that the requesting agent holds.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// The next page of a delta that the asking agent holds in part.
+    /// Where to continue a delta of which the requesting agent has received
+    /// some pages.
     #[prost(message, optional, tag = "3")]
     pub resume: Option<Resume>,
-    /// A delta of more than one page is not wanted, because another one is on
-    /// its way to the asking agent.
+    /// Whether a delta of more than one page is to be omitted, because the
+    /// requesting agent is already receiving such a delta from another peer.
     #[prost(bool, tag = "4")]
     pub one_page_only: bool,
-    /// Region of the asking VM.
+    /// Region of the requesting VM.
     #[prost(string, tag = "5")]
     pub region: String,
-    /// Failure domain of the asking VM.
+    /// Failure domain of the requesting VM.
     #[prost(string, tag = "6")]
     pub failure_domain: String,
-    /// The reply needs only the evidence with the newest confirmation.
+    /// Whether the reply needs only the evidence of the region with the newest
+    /// confirmation, instead of the evidence of all regions.
     #[prost(bool, tag = "8")]
     pub newest_confirmation_only: bool,
 }
 
-/// Newest evidence from one region. Ages count back from sending.
+/// Newest evidence from one region. Ages are measured when the message is
+/// sent.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RegionEvidence {
     /// Region name.
     #[prost(string, tag = "1")]
     pub region: String,
-    /// Age of the newest confirmation by the store, in milliseconds.
+    /// Age of the newest confirmation by the store that any agent of the region
+    /// obtained, in milliseconds.
     #[prost(uint32, optional, tag = "2")]
     pub confirmed_age_ms: Option<u32>,
-    /// Age of the newest word from any agent of the region, in milliseconds.
+    /// Age of the newest message from any agent of the region, in milliseconds.
     #[prost(uint32, optional, tag = "3")]
     pub received_age_ms: Option<u32>,
-    /// Newest revision known in the region.
+    /// Newest revision that is known in the region.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// Revision that the store confirmed.
+    /// Revision that this confirmation is for; 0 when there is none.
     #[prost(uint64, tag = "5")]
     pub confirmed_revision: u64,
-    /// Age of the newest answer of the store, whatever its revision, in
+    /// Age of the newest response of the store for any revision, in
     /// milliseconds.
     #[prost(uint32, optional, tag = "6")]
     pub store_answered_age_ms: Option<u32>,
 }
 
-/// Answer to [`Pull`].
+/// Reply to [`Pull`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PullReply {
-    /// Change since the revision of the request, if there is one.
+    /// Changes after the revision of the request; `None` when there are none.
     #[prost(message, optional, tag = "1")]
     pub delta: Option<Delta>,
-    /// Evidence held by the answering agent.
+    /// Evidence that the replying agent holds.
     #[prost(message, repeated, tag = "2")]
     pub regions: Vec<RegionEvidence>,
-    /// Revision that the answering agent holds.
+    /// Revision that the replying agent holds.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
 }
 
-/// Asks an agent for its status.
+/// Request to an agent for its status.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusRequest {}
 
@@ -259,15 +266,15 @@
     /// Revision that the agent holds.
     #[prost(uint64, tag = "2")]
     pub agent_revision: u64,
-    /// Last report of the entry, if it is connected.
+    /// Last report of the entry; `None` when it has not reported recently.
     #[prost(message, optional, tag = "3")]
     pub entry: Option<EntryReport>,
-    /// Traffic of the agent's links.
+    /// Traffic on the links of the agent's process.
     #[prost(message, optional, tag = "4")]
     pub traffic: Option<LinkTraffic>,
 }
 
-/// Frames and bytes of all links of a process since it started, without TCP
+/// Frames and bytes on all links of a process since it started, excluding TCP
 /// and IP headers.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct LinkTraffic {
@@ -285,72 +292,73 @@
     pub bytes_out: u64,
 }
 
-/// Asks for a loan of a team's rate and burst.
+/// Request for a loan from a team's rate and burst.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Borrow {
     /// Team name.
     #[prost(string, tag = "1")]
     pub team: String,
-    /// Names the ask; its VM is the borrower.
+    /// Id of the request; its VM is the borrower.
     #[prost(message, optional, tag = "2")]
     pub request: Option<ScopedId>,
-    /// Wanted rate, in requests per second.
+    /// Requested rate, in requests per second.
     #[prost(double, tag = "3")]
     pub rate: f64,
-    /// Wanted burst, in requests.
+    /// Requested burst, in requests.
     #[prost(double, tag = "4")]
     pub burst: f64,
-    /// Wanted tokens, in requests; at most the burst.
+    /// Requested tokens, in requests; at most the burst.
     #[prost(double, tag = "5")]
     pub tokens: f64,
 }
 
-/// Answer to [`Borrow`]: a parcel that moves for the length of a lease.
+/// Reply to [`Borrow`]: the share that the borrower may use until the lease of
+/// the loan ends.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanMessage {
-    /// Names the loan; its VM is the lender. Nothing was lent when absent.
+    /// Id of the loan; its VM is the lender. `None` when nothing was lent.
     #[prost(message, optional, tag = "1")]
     pub id: Option<ScopedId>,
-    /// Rate part, in requests per second.
+    /// Lent rate, in requests per second.
     #[prost(double, tag = "2")]
     pub rate: f64,
-    /// Burst part, in requests.
+    /// Lent burst, in requests.
     #[prost(double, tag = "3")]
     pub burst: f64,
-    /// Tokens, in requests; at most the burst part.
+    /// Lent tokens, in requests; at most the lent burst.
     #[prost(double, tag = "4")]
     pub tokens: f64,
 }
 
-/// Asks the lender to extend a loan.
+/// Request to the lender to extend a loan.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RenewLoan {
     /// Team name.
     #[prost(string, tag = "1")]
     pub team: String,
-    /// The loan.
+    /// Id of the loan.
     #[prost(message, optional, tag = "2")]
     pub loan: Option<ScopedId>,
-    /// Counts the renewals of the loan.
+    /// Number of this renewal, counted per loan.
     #[prost(uint64, tag = "3")]
     pub number: u64,
 }
 
-/// Answer to [`RenewLoan`].
+/// Reply to [`RenewLoan`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanRenewed {
-    /// The loan runs for another lease.
+    /// Whether the loan was extended by another lease.
     #[prost(bool, tag = "1")]
     pub extended: bool,
 }
 
-/// Gives a loan back before its lease ends.
+/// Returns a loan before its lease ends.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReturnLoan {
     /// Team name.
     #[prost(string, tag = "1")]
     pub team: String,
-    /// The loan.
+    /// Id of the loan.
     #[prost(message, optional, tag = "2")]
     pub loan: Option<ScopedId>,
     /// Unspent tokens, in requests.
@@ -358,7 +366,8 @@
     pub tokens: f64,
 }
 
-/// A number that one incarnation of a VM's process gave out.
+/// Id of a loan or a loan request. It is unique because it names the VM and the
+/// incarnation of the process that assigned the number.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ScopedId {
     /// Name of the VM.
@@ -367,36 +376,37 @@
     /// Incarnation of the process.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Counts within the incarnation.
+    /// Number within the incarnation.
     #[prost(uint64, tag = "3")]
     pub number: u64,
 }
 
-/// Asks the owner of a slot book for a slot.
+/// Request to the owner of a slot pool for a slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Acquire {
     /// Service name.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Region whose slots are asked for.
+    /// Region whose slots are requested.
     #[prost(string, tag = "2")]
     pub region: String,
-    /// Team of the request.
+    /// Team that sent the request.
     #[prost(string, tag = "3")]
     pub team: String,
-    /// Name of the asking VM.
+    /// Name of the requesting VM.
     #[prost(string, tag = "4")]
     pub vm: String,
-    /// Time left to the caller's deadline, in milliseconds.
+    /// Time left until the caller's deadline, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub deadline_ms: u32,
-    /// The asking VM is in another region.
+    /// Whether the requesting VM is in another region.
     #[prost(bool, tag = "6")]
     pub remote: bool,
-    /// Endpoints that already refused this request.
+    /// Addresses of endpoints that already refused this request.
     #[prost(string, repeated, tag = "7")]
     pub avoid: Vec<String>,
-    /// Ends the rest of endpoints that had a fault: no region has another one.
+    /// Whether endpoints that are ejected after a fault are used again, because
+    /// no region has another endpoint.
     #[prost(bool, tag = "8")]
     pub use_ejected: bool,
 }
@@ -404,7 +414,7 @@
 /// The right to run one request on an endpoint.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Permit {
-    /// The permit.
+    /// Id of the permit.
     #[prost(message, optional, tag = "1")]
     pub permit: Option<PermitId>,
     /// Address of the endpoint.
@@ -412,43 +422,44 @@
     pub endpoint: String,
 }
 
-/// A permit of one incarnation of a slot book.
+/// Id of a permit, unique within one incarnation of a slot pool.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct PermitId {
-    /// Incarnation of the slot book.
+    /// Incarnation of the slot pool.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Counts within the incarnation.
+    /// Number within the incarnation.
     #[prost(uint64, tag = "2")]
     pub number: u64,
 }
 
-/// A refusal of a slot.
+/// Reply that denies a slot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Denied {
-    /// Why no slot was given.
+    /// Why no slot was granted.
     #[prost(enumeration = "DeniedCause", tag = "1")]
     pub cause: i32,
 }
 
-/// Why no slot was given.
+/// Why no slot was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum DeniedCause {
-    /// No cause was named.
+    /// The sender stated no cause.
     Unspecified = 0,
-    /// No slot would be free before the deadline.
+    /// No slot was expected to be free before the deadline.
     Busy = 1,
-    /// The VM asked does not own the slot book.
+    /// The VM that received the request does not own the slot pool.
     NotOwner = 2,
-    /// The service, region or permit is not known here.
+    /// The receiver does not know the service, region or permit.
     Unknown = 3,
-    /// The region has no endpoint that takes work.
+    /// The region has no endpoint that accepts requests.
     NoEndpoint = 4,
 }
 
-/// Extends a permit. A slot book that does not know the permit counts the
-/// request anew, so that a book rebuilt elsewhere sees what runs.
+/// Extends a permit. A slot pool that does not know the permit counts the
+/// request as new, so that a pool rebuilt on another VM includes the requests
+/// that are already running.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RenewPermit {
     /// Service name.
@@ -457,7 +468,7 @@
     /// Region name.
     #[prost(string, tag = "2")]
     pub region: String,
-    /// The permit.
+    /// Id of the permit.
     #[prost(message, optional, tag = "3")]
     pub permit: Option<PermitId>,
     /// Address of the endpoint.
@@ -474,24 +485,24 @@
     /// Region name.
     #[prost(string, tag = "2")]
     pub region: String,
-    /// The permit.
+    /// Id of the permit.
     #[prost(message, optional, tag = "3")]
     pub permit: Option<PermitId>,
-    /// Why the endpoint did not run the request.
+    /// Why the endpoint did not run the request, if it did not.
     #[prost(enumeration = "EndpointFault", tag = "4")]
     pub fault: i32,
 }
 
-/// Why an endpoint did not run a request that it had a slot for.
+/// Why an endpoint did not run a request for which a slot was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum EndpointFault {
-    /// It ran the request, or the request was not sent.
+    /// No fault: the endpoint ran the request, or the request was not sent.
     None = 0,
-    /// It refused because all of its slots were busy.
+    /// The endpoint refused because all of its slots were busy.
     Shed = 1,
-    /// It refused because it is draining.
+    /// The endpoint refused because it is draining.
     Draining = 2,
-    /// No connection could be made.
+    /// No connection to the endpoint could be opened.
     Unreachable = 3,
 }
