--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -104,7 +104,7 @@
     /// Acquires, renews or reads the lease, whichever is due.
     async fn advance_lease(&mut self) {
         let now = Instant::now();
-        let result = match self.lease.next(now) {
+        let result = match self.lease.next_action(now) {
             LeaseAction::Wait { .. } if self.lease.held(now).is_some() => Ok(()),
             LeaseAction::Wait { .. }
                 if self
@@ -130,7 +130,7 @@
         self.absent_since.clear();
         self.table_seen_at = None;
         self.step_seen_at = None;
-        let Some(LeaseAction::Write { expected, record }) = self.lease.yield_now(Instant::now())
+        let Some(LeaseAction::Write { expected, record }) = self.lease.release(Instant::now())
         else {
             return;
         };
@@ -146,7 +146,7 @@
         }
         // The result of this write or of an earlier renewal may be unknown, so
         // the current record must be read again.
-        self.lease.conflicted();
+        self.lease.record_conflict();
     }
 
     async fn read_lease(&mut self) -> Result<(), PlatformError> {
@@ -156,7 +156,7 @@
             let file: LeaseFile = serde_json::from_slice(object.value.as_deref()?).ok()?;
             Some((object.revision, LeaseRecord::try_from(file).ok()?))
         });
-        self.lease.observe(Instant::now(), stored);
+        self.lease.record_read(Instant::now(), stored);
         Ok(())
     }
 
@@ -174,14 +174,14 @@
         match written.await {
             Ok(revision) => {
                 let was_held = self.lease.held(Instant::now()).is_some();
-                self.lease.written(Instant::now(), revision);
+                self.lease.record_write(Instant::now(), revision);
                 if !was_held {
                     log::info!("event=lease_acquired token={}", record.token.get());
                 }
                 Ok(())
             }
             Err(error) if error.is_conflict() => {
-                self.lease.conflicted();
+                self.lease.record_conflict();
                 Ok(())
             }
             Err(error) => Err(error),
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -65,7 +65,7 @@
     let valid = if state.objects.revision() < request.revision {
         // This agent was restarted and its state is still older than that of
         // its entry.
-        state.freshness.exists(request.revision);
+        state.freshness.record_known_revision(request.revision);
         None
     } else {
         // The entry counts the validity from the time of its request, so the
@@ -169,10 +169,10 @@
         Self {
             region: ages.region.to_string(),
             confirmed_age_ms: ages.confirmed.map(|(age, _)| millis(age)),
-            received_age_ms: ages.heard.map(millis),
+            received_age_ms: ages.last_received.map(millis),
             revision: ages.revision,
             confirmed_revision: ages.confirmed.map_or(0, |(_, revision)| revision),
-            store_answered_age_ms: ages.reached.map(millis),
+            store_answered_age_ms: ages.store_answered.map(millis),
         }
     }
 }
@@ -189,8 +189,8 @@
             confirmed: evidence
                 .confirmed_age_ms
                 .map(|ms| (age(ms), evidence.confirmed_revision)),
-            reached: evidence.store_answered_age_ms.map(age),
-            heard: evidence.received_age_ms.map(age),
+            store_answered: evidence.store_answered_age_ms.map(age),
+            last_received: evidence.received_age_ms.map(age),
             revision: evidence.revision,
         })
     }
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -151,10 +151,12 @@
         .filter_map(|evidence| evidence.try_into().ok())
         .collect();
     let mut state = agent.state();
-    state.freshness.hear(sent_at, &peer.region, reply.revision);
-    state.freshness.absorb(sent_at, &ages);
+    state
+        .freshness
+        .record_reply(sent_at, &peer.region, reply.revision);
+    state.freshness.record_ages(sent_at, &ages);
     let held = state.objects.revision();
-    state.freshness.hold(held);
+    state.freshness.update_held_confirmation(held);
 }
 
 /// Adds a page to the incoming delta, and applies the delta once it is complete.
--- a/crates/filbertgrade/src/process/agent/store.rs
+++ b/crates/filbertgrade/src/process/agent/store.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbertgrade_coord::dissemination::{POLL_AFTER, StorePoll, store_poll};
-use filbertgrade_coord::versioned::Applied;
+use filbertgrade_coord::dissemination::{POLL_DELAY, StorePoll, next_store_poll};
+use filbertgrade_coord::versioned::ApplyOutcome;
 
 use super::Agent;
 use crate::logfmt;
@@ -116,10 +116,10 @@
     if state.vms.is_empty() || state.topology.is_relay {
         return Step::Watch;
     }
-    let confirmed_at = state.freshness.newest_confirmation().unwrap_or(started);
-    let confirmed = now.saturating_duration_since(confirmed_at) < POLL_AFTER;
+    let confirmed_at = state.freshness.held_confirmed_at().unwrap_or(started);
+    let confirmed = now.saturating_duration_since(confirmed_at) < POLL_DELAY;
     let seed = xxhash_rust::xxh3::xxh3_64(agent.settings.vm.as_str().as_bytes());
-    match store_poll(confirmed_at, polled.filter(|_| !confirmed), seed, now) {
+    match next_store_poll(confirmed_at, polled.filter(|_| !confirmed), seed, now) {
         StorePoll::Now => Step::Poll,
         StorePoll::At(_) => Step::Wait { confirmed },
     }
@@ -163,7 +163,7 @@
 
 fn apply_changes(agent: &Agent, changes: Changes, held: Revision) {
     match agent.apply_update(|objects| objects.apply_delta(changes.into_delta(held))) {
-        Ok(Applied::Advanced(names)) if !names.is_empty() => {
+        Ok(ApplyOutcome::Advanced(names)) if !names.is_empty() => {
             log::info!(
                 "event=store_changed revision={} objects={}",
                 *agent.revision.borrow(),
@@ -177,7 +177,7 @@
 
 fn record_confirmation(agent: &Agent, sent_at: Instant, revision: Revision) {
     let mut state = agent.state();
-    state.freshness.confirm(sent_at, revision);
+    state.freshness.record_confirmation(sent_at, revision);
     let held = state.objects.revision();
-    state.freshness.hold(held);
+    state.freshness.update_held_confirmation(held);
 }
