--- a/crates/filbertgrade/src/platform/http.rs
+++ b/crates/filbertgrade/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP.
+//! Client of the platform's object API over HTTP.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -14,21 +14,23 @@
 
 use super::{Changes, Condition, Object, Platform, PlatformError, Revision};
 
-/// Time for one call besides the wait that a watch asks for.
+/// Timeout of one call, in addition to the wait of a watch.
 ///
-/// The platform answers in milliseconds; a call that takes longer is better
-/// given up, because its connection may have gone silent.
+/// The platform normally responds within milliseconds. A call that takes this
+/// long is abandoned, because its connection may be lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest value of an object; the platform holds values up to 1 MB.
-const VALUE_BYTES: usize = 1024 * 1024;
+/// Maximum length of the value of an object. The platform stores values of up to
+/// 1 MB.
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
-/// Longest answer to a list or watch. It bounds the memory that a faulty
-/// answer takes, well above the objects of the largest fleet.
-const LIST_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum length of the response to a list or watch. It limits the memory that a
+/// faulty response can take, and is well above the size of all objects of the
+/// largest fleet.
+const MAX_LIST_BYTES: usize = 64 * 1024 * 1024;
 
-/// Client of the object API. Each call uses a connection of its own, so that
-/// a connection that went silent costs one call only.
+/// Client of the object API. Each call opens a separate connection, so that a
+/// lost connection affects only one call.
 #[derive(Debug)]
 pub struct HttpPlatform {
     address: SocketAddr,
@@ -36,36 +38,38 @@
 }
 
 impl HttpPlatform {
-    /// Makes a client for the store at `address` that connects from `local`.
+    /// Creates a client for the store at `address`. It connects from the address
+    /// `local`, or from one that the operating system selects.
     #[must_use]
     pub fn new(address: SocketAddr, local: Option<IpAddr>) -> Self {
         Self { address, local }
     }
 
+    /// Performs one call and counts it in the metrics. `name` is used in errors.
     async fn call(
         &self,
         name: &str,
-        kind: Kind,
+        kind: CallKind,
         req: Request<Full<Bytes>>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, PlatformError> {
         metrics::counter!("platform_calls_total", "kind" => kind.as_str()).increment(1);
-        let answer = self.exchange(name, kind, req, within).await;
-        if answer.is_err() {
+        let response = self.exchange(name, kind, req, timeout).await;
+        if response.is_err() {
             metrics::counter!("platform_calls_unanswered_total", "kind" => kind.as_str())
                 .increment(1);
         }
-        answer
+        response
     }
 
     async fn exchange(
         &self,
         name: &str,
-        kind: Kind,
+        kind: CallKind,
         req: Request<Full<Bytes>>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, PlatformError> {
-        let limit = kind.answer_bytes();
+        let limit = kind.max_response_bytes();
         let stream = tokio::time::timeout(
             CALL_TIMEOUT,
             crate::connection::connect(self.address, self.local),
@@ -77,15 +81,15 @@
             .await
             .map_err(|e| PlatformError::not_sent(name, &e))?;
         let driver = tokio::spawn(connection);
-        let answer = tokio::time::timeout(within, async {
+        let response = tokio::time::timeout(timeout, async {
             let (parts, body) = sender.send_request(req).await?.into_parts();
             let body = Limited::new(body, limit).collect().await?.to_bytes();
             Ok::<_, BoxError>(Response::from_parts(parts, body))
         })
         .await;
         driver.abort();
-        match answer {
-            Ok(Ok(answer)) => Ok(answer),
+        match response {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(PlatformError::too_long(name, limit)),
             Ok(Err(e)) => Err(PlatformError::no_response(name, &e)),
             Err(_) => Err(PlatformError::no_response(name, &"timed out")),
@@ -102,9 +106,9 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Kind of a call, as the metrics name it.
+/// Kind of a call: label `kind` of the metrics.
 #[derive(Clone, Copy, Debug)]
-enum Kind {
+enum CallKind {
     Get,
     Put,
     Delete,
@@ -112,7 +116,7 @@
     Watch,
 }
 
-impl Kind {
+impl CallKind {
     fn as_str(self) -> &'static str {
         match self {
             Self::Get => "get",
@@ -123,10 +127,11 @@
         }
     }
 
-    fn answer_bytes(self) -> usize {
+    /// Maximum length of the body of the response.
+    fn max_response_bytes(self) -> usize {
         match self {
-            Self::Get | Self::Put | Self::Delete => VALUE_BYTES,
-            Self::List | Self::Watch => LIST_BYTES,
+            Self::Get | Self::Put | Self::Delete => MAX_VALUE_BYTES,
+            Self::List | Self::Watch => MAX_LIST_BYTES,
         }
     }
 }
@@ -138,16 +143,16 @@
                 .request(Method::GET, &object_target(name))
                 .body(Full::default())
                 .map_err(|e| PlatformError::not_sent(name, &e))?;
-            let answer = self.call(name, Kind::Get, req, CALL_TIMEOUT).await?;
-            match answer.status() {
+            let response = self.call(name, CallKind::Get, req, CALL_TIMEOUT).await?;
+            match response.status() {
                 StatusCode::NOT_FOUND => Ok(None),
-                StatusCode::OK if std::str::from_utf8(answer.body()).is_err() => {
+                StatusCode::OK if std::str::from_utf8(response.body()).is_err() => {
                     Err(PlatformError::not_utf8(name))
                 }
                 StatusCode::OK => Ok(Some(Object {
                     name: name.to_owned(),
-                    revision: revision(name, &answer)?,
-                    value: Some(answer.into_body()),
+                    revision: etag_revision(name, &response)?,
+                    value: Some(response.into_body()),
                 })),
                 status => Err(PlatformError::refused(name, status.as_u16())),
             }
@@ -162,8 +167,8 @@
         condition: Condition,
     ) -> BoxFuture<'a, Result<Revision, PlatformError>> {
         async move {
-            // Lists and watches carry values as JSON strings, so any other
-            // content would come back changed.
+            // Lists and watches return values as JSON strings, which cannot
+            // represent other bytes unchanged.
             if std::str::from_utf8(&value).is_err() {
                 return Err(PlatformError::not_utf8(name));
             }
@@ -176,13 +181,14 @@
             let req = req
                 .body(Full::new(value))
                 .map_err(|e| PlatformError::not_sent(name, &e))?;
-            let answer = self.call(name, Kind::Put, req, CALL_TIMEOUT).await?;
-            match answer.status() {
-                StatusCode::PRECONDITION_FAILED => {
-                    Err(PlatformError::conflict(name, revision(name, &answer).ok()))
-                }
+            let response = self.call(name, CallKind::Put, req, CALL_TIMEOUT).await?;
+            match response.status() {
+                StatusCode::PRECONDITION_FAILED => Err(PlatformError::conflict(
+                    name,
+                    etag_revision(name, &response).ok(),
+                )),
                 StatusCode::NOT_FOUND => Err(PlatformError::conflict(name, None)),
-                status if status.is_success() => revision(name, &answer),
+                status if status.is_success() => etag_revision(name, &response),
                 status => Err(PlatformError::refused(name, status.as_u16())),
             }
         }
@@ -200,12 +206,12 @@
                 .header(IF_MATCH, at.to_string())
                 .body(Full::default())
                 .map_err(|e| PlatformError::not_sent(name, &e))?;
-            let answer = self.call(name, Kind::Delete, req, CALL_TIMEOUT).await?;
-            match answer.status() {
-                StatusCode::PRECONDITION_FAILED | StatusCode::NOT_FOUND => {
-                    Err(PlatformError::conflict(name, revision(name, &answer).ok()))
-                }
-                status if status.is_success() => revision(name, &answer),
+            let response = self.call(name, CallKind::Delete, req, CALL_TIMEOUT).await?;
+            match response.status() {
+                StatusCode::PRECONDITION_FAILED | StatusCode::NOT_FOUND => Err(
+                    PlatformError::conflict(name, etag_revision(name, &response).ok()),
+                ),
+                status if status.is_success() => etag_revision(name, &response),
                 status => Err(PlatformError::refused(name, status.as_u16())),
             }
         }
@@ -217,14 +223,16 @@
         prefixes: &'a [&'a str],
     ) -> BoxFuture<'a, Result<Changes, PlatformError>> {
         async move {
-            let target = format!("/v1/list?{}", query(prefixes));
+            let target = format!("/v1/list?{}", prefix_query(prefixes));
             let req = self
                 .request(Method::GET, &target)
                 .body(Full::default())
                 .map_err(|e| PlatformError::not_sent(&target, &e))?;
-            let answer = self.call(&target, Kind::List, req, CALL_TIMEOUT).await?;
-            match answer.status() {
-                StatusCode::OK => decode_changes(&target, answer.body()),
+            let response = self
+                .call(&target, CallKind::List, req, CALL_TIMEOUT)
+                .await?;
+            match response.status() {
+                StatusCode::OK => decode_changes(&target, response.body()),
                 status => Err(PlatformError::refused(&target, status.as_u16())),
             }
         }
@@ -240,18 +248,18 @@
         async move {
             let target = format!(
                 "/v1/watch?{}&after={after}&wait_ms={}",
-                query(prefixes),
+                prefix_query(prefixes),
                 wait.as_millis()
             );
             let req = self
                 .request(Method::GET, &target)
                 .body(Full::default())
                 .map_err(|e| PlatformError::not_sent(&target, &e))?;
-            let answer = self
-                .call(&target, Kind::Watch, req, wait + CALL_TIMEOUT)
+            let response = self
+                .call(&target, CallKind::Watch, req, wait + CALL_TIMEOUT)
                 .await?;
-            match answer.status() {
-                StatusCode::OK => decode_changes(&target, answer.body()),
+            match response.status() {
+                StatusCode::OK => decode_changes(&target, response.body()),
                 StatusCode::GONE => Err(PlatformError::history_gone(&target)),
                 status => Err(PlatformError::refused(&target, status.as_u16())),
             }
@@ -260,6 +268,7 @@
     }
 }
 
+/// Response to a list, with `objects`, or to a watch, with `changes`.
 #[derive(Deserialize)]
 struct WireChanges {
     revision: Revision,
@@ -299,8 +308,9 @@
         .map_err(|e| PlatformError::malformed_response(name, &e))
 }
 
-fn revision(name: &str, answer: &Response<Bytes>) -> Result<Revision, PlatformError> {
-    answer
+/// Reads the revision from the `ETag` header of a response.
+fn etag_revision(name: &str, response: &Response<Bytes>) -> Result<Revision, PlatformError> {
+    response
         .headers()
         .get(ETAG)
         .and_then(|etag| etag.to_str().ok())
@@ -312,7 +322,7 @@
     format!("/v1/objects/{name}")
 }
 
-fn query(prefixes: &[&str]) -> String {
+fn prefix_query(prefixes: &[&str]) -> String {
     let parts: Vec<String> = prefixes.iter().map(|p| format!("prefix={p}")).collect();
     parts.join("&")
 }
--- a/crates/filbertgrade/src/platform/mod.rs
+++ b/crates/filbertgrade/src/platform/mod.rs
@@ -1,4 +1,5 @@
-//! What the system needs of the platform's object API.
+//! Interface to the platform's object store: the [`Platform`] trait, its client
+//! over HTTP and its errors.
 
 mod http;
 
@@ -10,13 +11,13 @@
 
 pub use http::HttpPlatform;
 
-/// A position in the history of the store. It only grows.
+/// Position in the history of the store. Every write increases it.
 pub type Revision = u64;
 
-/// Name prefixes whose objects every agent holds.
+/// Prefixes of the names of the objects that every agent holds.
 ///
-/// `attempts/` is left out: its objects are many, short-lived and read only by
-/// the entry that wrote them or met them.
+/// `attempts/` is not among them: its objects are numerous and short-lived, and
+/// only entries that handle a request with the same key read them.
 pub const WATCHED_PREFIXES: [&str; 6] = [
     "config/",
     "drains/",
@@ -26,12 +27,12 @@
     "vms/",
 ];
 
-/// An object API with versions, conditional updates and watches.
+/// An object store with revisions, conditional writes and watches.
 ///
-/// Each call counts against the platform's budget; a waiting watch counts as
-/// one call.
+/// Each call counts towards the limit on calls that the platform sets. A watch
+/// is one call, however long it waits.
 pub trait Platform: Debug + Send + Sync {
-    /// Reads one object.
+    /// Reads one object; `None` when it does not exist.
     fn get<'a>(&'a self, name: &'a str) -> BoxFuture<'a, Result<Option<Object>, PlatformError>>;
 
     /// Writes one object if `condition` holds, and returns its new revision.
@@ -42,8 +43,8 @@
         condition: Condition,
     ) -> BoxFuture<'a, Result<Revision, PlatformError>>;
 
-    /// Removes one object if it is still at `revision`, and returns the
-    /// revision of the removal.
+    /// Removes one object if it is still at `revision`, and returns the revision
+    /// of the removal.
     fn delete<'a>(
         &'a self,
         name: &'a str,
@@ -54,8 +55,8 @@
     fn list<'a>(&'a self, prefixes: &'a [&'a str])
     -> BoxFuture<'a, Result<Changes, PlatformError>>;
 
-    /// Waits for changes after revision `after`, at most for `wait`. The
-    /// result is empty when nothing changed.
+    /// Waits up to `wait` for changes after revision `after`. The result has no
+    /// objects when nothing changed.
     fn watch<'a>(
         &'a self,
         prefixes: &'a [&'a str],
@@ -67,7 +68,7 @@
 /// One object of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Name.
+    /// Name, for example `config/root`.
     pub name: String,
     /// Revision of the last change to this object.
     pub revision: Revision,
@@ -75,23 +76,23 @@
     pub value: Option<Bytes>,
 }
 
-/// Objects as of one revision of the store.
+/// Result of a list or a watch: objects as of one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Revision of the store.
+    /// Revision of the store that the result is for.
     pub revision: Revision,
-    /// Changed objects.
+    /// Changed objects, or all objects in the result of a list.
     pub objects: Vec<Object>,
 }
 
-/// When a write takes effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// The object does not exist.
     Absent,
-    /// The object is at this revision.
+    /// The object exists and is at this revision.
     At(Revision),
-    /// Always.
+    /// No condition.
     Always,
 }
 
@@ -107,19 +108,19 @@
 enum PlatformErrorKind {
     #[error("conflict, the object is at revision {0:?}")]
     Conflict(Option<Revision>),
-    #[error("the store no longer keeps changes that old")]
+    #[error("the store no longer has the changes after the given revision")]
     HistoryGone,
     #[error("not sent: {0}")]
     NotSent(String),
-    #[error("no answer, the call may have taken effect: {0}")]
-    NoAnswer(String),
+    #[error("no response, the call may have taken effect: {0}")]
+    NoResponse(String),
     #[error("refused with status {0}")]
     Refused(u16),
-    #[error("answer not understood: {0}")]
-    BadAnswer(String),
-    #[error("the answer is longer than {0} bytes")]
+    #[error("unusable response: {0}")]
+    MalformedResponse(String),
+    #[error("the response is longer than {0} bytes")]
     TooLong(usize),
-    #[error("the value is not UTF-8, which lists and watches cannot carry")]
+    #[error("the value is not UTF-8, which lists and watches cannot represent")]
     NotUtf8,
 }
 
@@ -137,7 +138,7 @@
     }
 
     pub(crate) fn no_response(name: &str, cause: &dyn std::fmt::Display) -> Self {
-        Self::new(name, PlatformErrorKind::NoAnswer(cause.to_string()))
+        Self::new(name, PlatformErrorKind::NoResponse(cause.to_string()))
     }
 
     pub(crate) fn refused(name: &str, status: u16) -> Self {
@@ -145,7 +146,10 @@
     }
 
     pub(crate) fn malformed_response(name: &str, cause: &dyn std::fmt::Display) -> Self {
-        Self::new(name, PlatformErrorKind::BadAnswer(cause.to_string()))
+        Self::new(
+            name,
+            PlatformErrorKind::MalformedResponse(cause.to_string()),
+        )
     }
 
     pub(crate) fn too_long(name: &str, limit: usize) -> Self {
@@ -163,45 +167,49 @@
         }
     }
 
-    /// The condition of a write did not hold, so it took no effect.
+    /// Reports whether the condition of a write did not hold, so that the write
+    /// took no effect.
     #[must_use]
     pub fn is_conflict(&self) -> bool {
         matches!(self.kind, PlatformErrorKind::Conflict(_))
     }
 
-    /// The store dropped the history that a watch asked for; list instead.
+    /// Reports whether the store has dropped the history that a watch needs. The
+    /// caller must list the objects instead.
     #[must_use]
     pub fn is_history_gone(&self) -> bool {
         matches!(self.kind, PlatformErrorKind::HistoryGone)
     }
 
-    /// A write may have taken effect although no answer arrived.
+    /// Reports whether a write may have taken effect although it was not
+    /// confirmed.
     #[must_use]
     pub fn is_outcome_unknown(&self) -> bool {
         matches!(
             self.kind,
-            PlatformErrorKind::NoAnswer(_)
-                | PlatformErrorKind::BadAnswer(_)
+            PlatformErrorKind::NoResponse(_)
+                | PlatformErrorKind::MalformedResponse(_)
                 | PlatformErrorKind::TooLong(_)
                 | PlatformErrorKind::Refused(500..)
         )
     }
 
-    /// A value is not UTF-8: one to be written was not sent, one that was read
-    /// is refused.
+    /// Reports whether a value is not UTF-8. A write of it was not sent; a read of
+    /// it is rejected.
     #[must_use]
     pub fn is_not_utf8(&self) -> bool {
         matches!(self.kind, PlatformErrorKind::NotUtf8)
     }
 
-    /// An answer was longer than any that the platform may give.
+    /// Reports whether a response exceeded the maximum length for its kind of
+    /// call.
     #[must_use]
     pub fn is_too_long(&self) -> bool {
         matches!(self.kind, PlatformErrorKind::TooLong(_))
     }
 
-    /// The revision that a conflicting object is at; `None` without a conflict
-    /// and when the object does not exist.
+    /// Revision of the object that caused a conflict; `None` when the object does
+    /// not exist or the error is not a conflict.
     #[must_use]
     pub fn current_revision(&self) -> Option<Revision> {
         match self.kind {
--- a/crates/filbertgrade/tests/agents/allocation.rs
+++ b/crates/filbertgrade/tests/agents/allocation.rs
@@ -1,17 +1,19 @@
-//! What the platform held of the share table and the allocator's lease.
+//! History of the share table and of the allocator's lease in the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use filbertgrade_standins::platform::PlatformServer;
 use serde::Deserialize;
 
-/// Units that a table may give out.
+/// Units that a share table assigns in total.
 const UNITS: u64 = 10_000;
 
-/// Every table and holder that was seen.
+/// Every share table and lease holder that was observed.
 #[derive(Debug, Default)]
-pub(crate) struct Allocation {
+pub(crate) struct AllocationHistory {
+    /// Share tables by the revision of the store at which they were written.
     tables: BTreeMap<u64, Table>,
+    /// VMs whose agents held the lease.
     holders: BTreeSet<String>,
 }
 
@@ -27,9 +29,9 @@
     holder: Option<String>,
 }
 
-impl Allocation {
-    /// Notes what the platform holds now.
-    pub(crate) fn look(&mut self, platform: &PlatformServer) {
+impl AllocationHistory {
+    /// Records the share table and the lease that the store holds now.
+    pub(crate) fn record(&mut self, platform: &PlatformServer) {
         if let Some((revision, value)) = platform.get("shares/table") {
             let table = || serde_json::from_slice(&value).unwrap();
             self.tables.entry(revision).or_insert_with(table);
@@ -37,43 +39,44 @@
         self.holders.extend(self.holder(platform));
     }
 
-    /// VM of the agent that holds the lease.
+    /// VM of the agent that holds the lease; `None` when nobody does.
     pub(crate) fn holder(&self, platform: &PlatformServer) -> Option<String> {
         let (_, value) = platform.get("leases/allocator")?;
         serde_json::from_slice::<Lease>(&value).unwrap().holder
     }
 
-    /// How many agents held the lease.
-    pub(crate) fn holders(&self) -> usize {
+    /// Number of agents that held the lease so far.
+    pub(crate) fn holder_count(&self) -> usize {
         self.holders.len()
     }
 
-    /// What is wrong with the tables, or `none`.
-    pub(crate) fn faults(&self) -> String {
-        let mut faults = Vec::new();
-        let mut before: Option<&Table> = None;
+    /// Describes the violations in the recorded tables; `none` when there are
+    /// none.
+    pub(crate) fn violations(&self) -> String {
+        let mut violations = Vec::new();
+        let mut previous: Option<&Table> = None;
         for (revision, table) in &self.tables {
             let sum: u64 = table.units.values().sum();
             if sum > UNITS {
-                faults.push(format!("{sum} units at revision {revision}"));
+                violations.push(format!("{sum} units at revision {revision}"));
             }
-            if let Some(before) = before {
-                if table.version != before.version + 1 {
-                    faults.push(format!("version {} was not seen", before.version + 1));
+            if let Some(previous) = previous {
+                if table.version != previous.version + 1 {
+                    violations.push(format!("version {} was not recorded", previous.version + 1));
                 }
-                if table.token < before.token {
-                    faults.push(format!("token {} came back", table.token));
+                if table.token < previous.token {
+                    violations.push(format!("token went back to {}", table.token));
                 }
             }
-            before = Some(table);
+            previous = Some(table);
         }
-        let last: u64 = before.map_or(0, |table| table.units.values().sum());
+        let last: u64 = previous.map_or(0, |table| table.units.values().sum());
         if last != UNITS {
-            faults.push(format!("the last table gives out {last}"));
+            violations.push(format!("the last table assigns {last} units"));
         }
-        if faults.is_empty() {
-            faults.push("none".to_owned());
+        if violations.is_empty() {
+            violations.push("none".to_owned());
         }
-        faults.join(", ")
+        violations.join(", ")
     }
 }
--- a/crates/filbertgrade/tests/agents/config.rs
+++ b/crates/filbertgrade/tests/agents/config.rs
@@ -1,13 +1,13 @@
-//! Configurations while parts fail.
+//! Distribution of configurations while a VM cannot reach the store.
 
 use std::time::Duration;
 
 use crate::fleet::{Fleet, Regions, Vm};
 use crate::load::serves;
 
-/// Guards against a configuration above the frame limit that reaches no entry,
-/// against a VM without the store that never gets it from peers, and against a
-/// transfer that starts anew with every change.
+/// Guards against three failures: a configuration above the frame limit reaches
+/// no entry; a VM that is cut off from the store never receives it from peers;
+/// every change of the store restarts the transfer from its first page.
 #[tokio::test(flavor = "multi_thread")]
 async fn configuration_of_several_megabytes_reaches_every_vm_while_revisions_change() {
     let fleet = Fleet::start_proxied(3, Regions::Alternate).await;
@@ -19,26 +19,27 @@
     fleet.cut_from_store(&[1], true);
     put_large_config(&fleet, 5);
     let started = std::time::Instant::now();
-    let mut waiting: Vec<_> = fleet.vms.iter().map(Vm::callers).collect();
-    while !waiting.is_empty() {
+    let mut not_serving: Vec<_> = fleet.vms.iter().map(Vm::callers).collect();
+    while !not_serving.is_empty() {
         assert!(
             started.elapsed() < Duration::from_secs(8),
-            "the configuration is not in force at {waiting:?}"
+            "the configuration is not in force at {not_serving:?}"
         );
         fleet.platform.put("drains/vm/no-such-vm", "{}");
         fleet
             .platform
             .put("config/part/unused", "x".repeat(900_000));
-        let vm = waiting[0];
+        let vm = not_serving[0];
         if serves_stitch(vm, &secret).await {
-            waiting.remove(0);
+            not_serving.remove(0);
         } else {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 }
 
-/// Puts a configuration in force that has a service `stitch` and `megabytes` of comments.
+/// Stores a configuration that has a service `stitch` and about `megabytes` MB of
+/// comments.
 fn put_large_config(fleet: &Fleet, megabytes: usize) {
     let text = fleet
         .config()
@@ -56,6 +57,7 @@
     fleet.platform.put("config/root", root.to_string());
 }
 
+/// Whether the VM serves a request to the service `stitch`.
 async fn serves_stitch(vm: std::net::SocketAddr, _key: &str) -> bool {
     let req = http::Request::get("/stitch/hand?bytes=100")
         .header("host", "stitch")
@@ -64,5 +66,5 @@
         .unwrap();
     crate::fleet::send(vm, req)
         .await
-        .is_ok_and(|answer| answer.status() == 200)
+        .is_ok_and(|response| response.status() == 200)
 }
--- a/crates/filbertgrade/tests/agents/load.rs
+++ b/crates/filbertgrade/tests/agents/load.rs
@@ -1,4 +1,5 @@
-//! Callers that keep asking every VM, and what the backend servers ran.
+//! Callers that send requests to every VM, and the requests that the backend
+//! servers ran.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,34 +16,37 @@
 use crate::fleet::{Fleet, send};
 
 /// Time between two requests of one caller.
-const PERIOD: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// One caller per VM that sends a request every 40 ms, on one connection as
-/// long as it stays open.
+/// One caller per VM, which sends a request every 40 ms. It uses one connection
+/// until the VM closes it, and then opens another.
 pub(crate) struct Load {
     tasks: Vec<JoinHandle<()>>,
-    /// Every answer of each VM.
-    answers: Vec<Arc<Mutex<Vec<Answer>>>>,
+    /// All responses of each VM, in order.
+    responses: Vec<Arc<Mutex<Vec<CallerResponse>>>>,
 }
 
+/// Response to one request of a caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
-    /// 0 without an answer.
+pub(crate) struct CallerResponse {
+    /// Status code; 0 without a response.
     pub(crate) status: u16,
+    /// Cause of the refusal, from the header `filbertgrade-cause`; empty without
+    /// the header.
     pub(crate) cause: String,
 }
 
 impl Load {
-    /// Sends `<service>` requests with `key` to each VM; the request ids are
-    /// `<prefix>/<VM>/<number>`.
+    /// Starts sending requests for `service` with `key` to each VM. The request
+    /// ids are `<prefix>/<VM>/<number>`.
     pub(crate) fn start(fleet: &Fleet, service: &str, key: Option<&str>, prefix: &str) -> Self {
         let mut load = Self {
             tasks: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
         };
         for vm in &fleet.vms {
-            let answers = Arc::new(Mutex::new(Vec::new()));
-            load.answers.push(Arc::clone(&answers));
+            let responses = Arc::new(Mutex::new(Vec::new()));
+            load.responses.push(Arc::clone(&responses));
             let (address, service) = (vm.callers(), service.to_owned());
             let key = key.map(ToOwned::to_owned);
             let prefix = format!("{prefix}/{}", vm.name);
@@ -50,18 +54,18 @@
                 let mut open = None;
                 for n in 0_u64.. {
                     let req = request(&service, key.as_deref(), &format!("{prefix}/{n}"));
-                    let answer = call(&mut open, address, req).await;
-                    answers.lock().unwrap().push(answer);
-                    tokio::time::sleep(PERIOD).await;
+                    let response = call(&mut open, address, req).await;
+                    responses.lock().unwrap().push(response);
+                    tokio::time::sleep(REQUEST_INTERVAL).await;
                 }
             }));
         }
         load
     }
 
-    /// All answers of VM `n`, counted from 0.
-    pub(crate) fn answers(&self, n: usize) -> Vec<Answer> {
-        self.answers[n].lock().unwrap().clone()
+    /// All responses of VM `n` so far, counted from 0.
+    pub(crate) fn responses(&self, n: usize) -> Vec<CallerResponse> {
+        self.responses[n].lock().unwrap().clone()
     }
 }
 
@@ -73,7 +77,7 @@
     }
 }
 
-/// A read from `service` that the backend servers record under `id`.
+/// A read request for `service`. The backend servers record it under `id`.
 pub(crate) fn request(service: &str, key: Option<&str>, id: &str) -> Request<Full<Bytes>> {
     let mut req = Request::get(format!("/{service}/hand?bytes=100"))
         .header("host", service)
@@ -84,17 +88,17 @@
     req.body(Full::default()).unwrap()
 }
 
-/// Whether the VM serves a chart with the key.
+/// Whether the VM serves a request for the service `chart` with `key`.
 pub(crate) async fn serves(vm: SocketAddr, key: &str) -> bool {
     let req = request("chart", Some(key), "probe");
     send(vm, req)
         .await
-        .is_ok_and(|answer| answer.status() == 200)
+        .is_ok_and(|response| response.status() == 200)
 }
 
-/// When the backend servers started the requests whose ids start with
-/// `prefix`, in order.
-pub(crate) fn runs(fleet: &Fleet, prefix: &str) -> Vec<Instant> {
+/// Times at which the backend servers started requests whose ids start with
+/// `prefix`, in ascending order.
+pub(crate) fn run_starts(fleet: &Fleet, prefix: &str) -> Vec<Instant> {
     let records = fleet.backends.iter().map(BackendServer::records);
     let mut runs: Vec<Instant> = records
         .flat_map(|records| records.runs)
@@ -105,12 +109,14 @@
     runs
 }
 
+/// Sends a request on the connection in `open`, which is opened first when there
+/// is none or it is closed.
 async fn call(
     open: &mut Option<SendRequest<Full<Bytes>>>,
     address: SocketAddr,
     req: Request<Full<Bytes>>,
-) -> Answer {
-    let answer = async {
+) -> CallerResponse {
+    let exchange = async {
         if open.as_ref().is_none_or(SendRequest::is_closed) {
             let stream = tokio::net::TcpStream::connect(address).await.ok()?;
             let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -126,10 +132,10 @@
         let cause = cause.map(|cause| cause.to_str().unwrap().to_owned());
         Some((parts.status.as_u16(), cause.unwrap_or_default()))
     };
-    let ended = answer.await;
-    if ended.is_none() {
+    let outcome = exchange.await;
+    if outcome.is_none() {
         *open = None;
     }
-    let (status, cause) = ended.unwrap_or((0, "no answer".to_owned()));
-    Answer { status, cause }
+    let (status, cause) = outcome.unwrap_or((0, "no answer".to_owned()));
+    CallerResponse { status, cause }
 }
--- a/crates/filbertgrade/tests/agents/main.rs
+++ b/crates/filbertgrade/tests/agents/main.rs
@@ -1,4 +1,5 @@
-//! Tests of configuration, keys and membership while parts fail.
+//! Tests of configuration, keys and membership while processes, links and the
+//! store fail.
 
 #![expect(
     clippy::unwrap_used,
@@ -8,7 +9,7 @@
 mod allocation;
 mod config;
 #[path = "../it/fleet.rs"]
-#[expect(dead_code, reason = "the harness serves more than these tests")]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 mod load;
 mod scale;
--- a/crates/filbertgrade/tests/agents/scale.rs
+++ b/crates/filbertgrade/tests/agents/scale.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages as the fleet grows.
+//! Sizes of messages between agents as the fleet grows.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,25 +10,25 @@
 
 use crate::fleet::Fleet;
 
-/// Regions of the additional VMs.
+/// Number of regions of the listed VMs.
 const REGIONS: usize = 20;
 
 /// Guards against a reply to a pull that names each VM of the fleet, and
-/// against the evidence of all regions in every reply. Either would take the
-/// bytes that a node of a large fleet may spend on control.
+/// against replies that always hold the evidence of all regions. In a large
+/// fleet, either would exceed the control traffic that a node may use.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reply_without_news_does_not_grow_with_the_fleet() {
+async fn reply_without_changes_does_not_grow_with_the_number_of_vms() {
     let fleet = Fleet::start(1).await;
     let vm = &fleet.vms[0];
     let link = PeerLink::new(SocketAddr::new(vm.address, 7082), None);
     list_vms(&fleet, 0..10);
-    let few = up_to_date(&fleet, &link, false).await;
-    let newest_of_few = up_to_date(&fleet, &link, true).await;
+    let few = current_reply(&fleet, &link, false).await;
+    let newest_of_few = current_reply(&fleet, &link, true).await;
     list_vms(&fleet, 10..400);
-    let many = up_to_date(&fleet, &link, false).await;
-    let newest_of_many = up_to_date(&fleet, &link, true).await;
+    let many = current_reply(&fleet, &link, false).await;
+    let newest_of_many = current_reply(&fleet, &link, true).await;
 
-    // Ages and revisions are numbers of variable length.
+    // Ages and revisions are encoded with variable length.
     let slack = 16 * (many.regions.len() + 1);
     assert!(many.encoded_len() <= few.encoded_len() + slack);
     for reply in [newest_of_few, newest_of_many] {
@@ -38,11 +38,12 @@
     }
 }
 
+/// Adds the VMs with these numbers to the platform's list.
 fn list_vms(fleet: &Fleet, numbers: std::ops::Range<usize>) {
     for n in numbers {
         fleet.platform.put_vm(&VmEntry {
             name: format!("listed-{n}"),
-            // Nothing listens at the address, so nobody is pulled from.
+            // Nothing listens on this address, so pulls from these VMs fail.
             address: "127.62.0.1".to_owned(),
             region: format!("region-{}", n % REGIONS),
             failure_domain: format!("domain-{}", n % REGIONS),
@@ -51,13 +52,17 @@
     }
 }
 
-/// The reply to a pull by a peer that holds all that the store holds.
-async fn up_to_date(fleet: &Fleet, link: &PeerLink, newest_confirmation_only: bool) -> PullReply {
-    let began = Instant::now();
+/// The reply to a pull by a peer that already holds the store's revision.
+async fn current_reply(
+    fleet: &Fleet,
+    link: &PeerLink,
+    newest_confirmation_only: bool,
+) -> PullReply {
+    let started = Instant::now();
     loop {
         let revision = fleet.platform.revision();
         let pull = Pull {
-            vm: "asker".to_owned(),
+            vm: "requester".to_owned(),
             revision,
             newest_confirmation_only,
             ..Pull::default()
@@ -73,7 +78,10 @@
         {
             return reply;
         }
-        assert!(began.elapsed() < Duration::from_secs(10), "no reply");
+        assert!(
+            started.elapsed() < Duration::from_secs(10),
+            "no reply without changes"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -1,32 +1,64 @@
-//! Runs the scenarios of `tests/agents/scenarios/`, one test for each file.
+//! Runs the scenarios in `tests/agents/scenarios/`, one test for each file.
 //!
-//! Commands; `n` counts VMs from 1, and `n,m` names several:
-//! - `fleet N [regions=one]`: starts a fleet that serves requests.
-//! - `load KEY`: creates a key and uses it on an open connection to every VM
-//!   until the scenario ends. The key's name is any word.
-//! - `withdraw KEY`: returns when the platform holds the withdrawal. `accepted
-//!   KEY` waits for the end of the command and prints its exit code.
-//! - `last_run KEY within=MS after=MS [vm=n]`: waits until `after` from the
-//!   start of the withdrawal and tells whether the last request with the key
-//!   ran within `within` of it.
-//! - `longest_gap KEY vm=n under=MS [after=MS]`: whether the runs through that
-//!   VM, from `after` the start of the load until now, are that close together.
-//! - `answers KEY vm=n`: the kind of the last answer.
-//! - `refused KEY vm=n`: all kinds of refusals since the load began.
-//! - `request KEY vm=n`: one request; prints the kind of answer.
-//! - `version WORD`: applies a configuration in which an open service has that
-//!   name; `in_force WORD within=MS [vm=n]` waits for it on every VM; `follow WORD` asks
-//!   every VM for it all the time, and `reverts WORD` counts the VMs that did
-//!   not know it any more after they had served it.
-//! - `cut n,m [store=BOOL] [peers=BOOL]`, `store FAULT=VALUE`,
-//!   `signal n PROCESS SIGNAL`, `restart n PROCESS`, `kill n PROCESS`, `list n STATE`,
-//!   `lookup n names=m`, `calls under=N`: whether the platform got fewer calls since the last
-//!   `count`, `sleep MS`.
-//! - `race WORD WORD`: applies both versions at once; how many were accepted.
-//! - `pause_holder SIGNAL`: signals the agent that holds the allocator lease; `CONT` and
-//!   `RESTART` go to the one that was signalled. `holders`: whether several agents held the lease so far.
-//! - `shares`: what is wrong with the share tables that the platform held so far: a sum
-//!   above 10,000, a token that went backward, or a last table without all units.
+//! In the commands, `n` is the number of a VM, counted from 1, and `n,m` names
+//! several VMs. Times are in milliseconds.
+//!
+//! Set-up and keys:
+//! - `fleet N [regions=one]`: starts a fleet of N VMs and waits until all of them
+//!   serve requests.
+//! - `load KEY`: creates a key and sends requests with it to every VM, on an open
+//!   connection, until the scenario ends. KEY is any word.
+//! - `withdraw KEY`: starts the command that withdraws the key, and returns when
+//!   the store holds the withdrawal. `accepted KEY` waits for the end of that
+//!   command and prints its exit code.
+//!
+//! Checks of requests:
+//! - `last_run KEY within=MS after=MS [vm=n]`: waits until `after` from the start
+//!   of the withdrawal and prints whether the last request with the key started
+//!   within `within` of that start.
+//! - `longest_gap KEY vm=n under=MS [after=MS]`: prints whether the longest time
+//!   between two requests that ran through that VM is at most `under`. It counts
+//!   from `after` the start of the load until now.
+//! - `answers KEY vm=n`: prints status and cause of the last response.
+//! - `refused KEY vm=n`: prints status and cause of all responses other than 200
+//!   since the start of the load, each once.
+//! - `request KEY vm=n`: sends one request and prints status and cause.
+//!
+//! Configurations:
+//! - `version WORD`: applies a configuration with an open service of that name
+//!   and prints the exit code.
+//! - `in_force WORD within=MS [vm=n]`: waits until every VM, or VM n, serves it.
+//! - `follow WORD`: sends requests for it to every VM until the scenario ends.
+//! - `reverts WORD`: prints the number of VMs that did not know the service after
+//!   they had served it.
+//! - `race WORD WORD`: applies two configurations at once and prints how many were
+//!   accepted.
+//!
+//! Faults:
+//! - `cut n,m [store=BOOL] [peers=BOOL]`: cuts VMs off from the store or their
+//!   peers, or ends the cut.
+//! - `store FAULT=VALUE`: sets a fault of the store: `down=BOOL`,
+//!   `unresponsive=BOOL` (accepts calls and never responds), `delay=MS` of each
+//!   call, `stale=N` (reads lag by N revisions), `history=N` (changes kept for
+//!   watches), `lose=N` (the responses to the next N writes are
+//!   lost),
+//!   `vm_lag=MS` of the VM list, `lose_to_vms=BOOL` (responses to VMs are lost).
+//! - `signal n PROCESS SIGNAL`, `restart n PROCESS`, `kill n PROCESS`: acts on
+//!   processes of VMs; `agent+entry` names both.
+//! - `list n STATE`: sets the state of VMs in the platform's list; `gone` removes
+//!   them.
+//! - `pause_holder SIGNAL`: sends a signal to the agent that holds the allocator
+//!   lease. `CONT` and `RESTART` apply to the agent that was signalled last.
+//!
+//! Other:
+//! - `lookup n names=m`: prints whether the look-up response of VM n names VM m.
+//! - `count`: stores the number of calls to the store. `calls under=N`: prints
+//!   whether fewer than N calls arrived since then.
+//! - `sleep MS`: waits, and records the share table and the lease meanwhile.
+//! - `holders`: prints whether one or several agents held the lease so far.
+//! - `shares`: prints violations in the share tables that the store held so far: a
+//!   sum above 10,000 units, a token that went backward, a version that was not
+//!   recorded, or a last table that does not assign all units.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -40,9 +72,9 @@
 use tokio::runtime::Runtime;
 use tokio::task::JoinHandle;
 
-use crate::allocation::Allocation;
+use crate::allocation::AllocationHistory;
 use crate::fleet::{Fleet, Regions, Vm, invoke, send};
-use crate::load::{Load, request, runs, serves};
+use crate::load::{Load, request, run_starts, serves};
 
 type Failure = Box<dyn Error>;
 
@@ -55,28 +87,38 @@
         keys: BTreeMap::new(),
         versions: BTreeMap::new(),
         counted: PlatformCounts::default(),
-        allocation: Allocation::default(),
+        allocation: AllocationHistory::default(),
         paused: None,
     };
     goldenscript::run(&mut world, path).unwrap();
 }
 
+/// State of a running scenario.
 struct World {
     runtime: Runtime,
+    /// Name of the scenario file.
     name: String,
+    /// `None` before the command `fleet`.
     fleet: Option<Fleet>,
-    keys: BTreeMap<String, UsedKey>,
+    /// Keys by their names in the scenario.
+    keys: BTreeMap<String, LoadedKey>,
+    /// Requests that the command `follow` started, by service.
     versions: BTreeMap<String, Load>,
+    /// Calls to the store at the last command `count`.
     counted: PlatformCounts,
-    allocation: Allocation,
+    allocation: AllocationHistory,
+    /// Index of the VM whose agent `pause_holder` signalled last.
     paused: Option<usize>,
 }
 
-struct UsedKey {
+/// A key that the command `load` created.
+struct LoadedKey {
     secret: String,
     load: Load,
     loaded_at: Instant,
+    /// When the command that withdraws the key was started.
     withdrawn_at: Option<Instant>,
+    /// The running command that withdraws the key; its result is the exit code.
     command: Option<JoinHandle<Option<i32>>>,
 }
 
@@ -118,7 +160,7 @@
                 let probe = |vm| serves_owned(vm, secret.clone());
                 runtime.block_on(fleet.wait_until(Duration::from_secs(8), probe));
                 let load = Load::start(fleet, "chart", Some(&secret), &first);
-                let key = UsedKey {
+                let key = LoadedKey {
                     secret,
                     load,
                     loaded_at: Instant::now(),
@@ -144,7 +186,9 @@
                     (withdrawn_at + after).saturating_duration_since(Instant::now()),
                 );
                 let prefix = vm.map_or(format!("{first}/"), |n| format!("{first}/vm-{n}/"));
-                let last = runs(self.fleet(), &prefix).pop().ok_or("nothing ran")?;
+                let last = run_starts(self.fleet(), &prefix)
+                    .pop()
+                    .ok_or("nothing ran")?;
                 let took = last.saturating_duration_since(withdrawn_at);
                 eprintln!(
                     "event=measured scenario={} key={first} last_run_ms={}",
@@ -161,13 +205,13 @@
                 let under = millis(&mut args, "under")?.ok_or("under is missing")?;
                 let after = millis(&mut args, "after")?.unwrap_or_default();
                 let vm: usize = value(&mut args, "vm")?.ok_or("vm is missing")?;
-                let mut at = self.key(&first).loaded_at + after;
+                let mut gap_start = self.key(&first).loaded_at + after;
                 let mut gap = Duration::ZERO;
-                let mut ends = runs(self.fleet(), &format!("{first}/vm-{vm}/"));
-                ends.push(Instant::now());
-                for run in ends {
-                    gap = gap.max(run.saturating_duration_since(at));
-                    at = at.max(run);
+                let mut run_times = run_starts(self.fleet(), &format!("{first}/vm-{vm}/"));
+                run_times.push(Instant::now());
+                for run in run_times {
+                    gap = gap.max(run.saturating_duration_since(gap_start));
+                    gap_start = gap_start.max(run);
                 }
                 eprintln!(
                     "event=measured scenario={} vm={vm} longest_gap_ms={}",
@@ -182,19 +226,19 @@
             }
             "answers" => {
                 let vm: usize = value(&mut args, "vm")?.ok_or("vm is missing")?;
-                let last = self.key(&first).load.answers(vm - 1).pop();
-                let last = last.ok_or("no answer yet")?;
+                let last = self.key(&first).load.responses(vm - 1).pop();
+                let last = last.ok_or("no response yet")?;
                 out = format!("{} {}", last.status, last.cause);
             }
             "refused" => {
                 let vm: usize = value(&mut args, "vm")?.ok_or("vm is missing")?;
-                let answers = self.key(&first).load.answers(vm - 1);
-                let kinds: BTreeSet<String> = answers
+                let responses = self.key(&first).load.responses(vm - 1);
+                let refusals: BTreeSet<String> = responses
                     .iter()
-                    .filter(|answer| answer.status != 200)
-                    .map(|answer| format!("{} {}", answer.status, answer.cause))
+                    .filter(|response| response.status != 200)
+                    .map(|response| format!("{} {}", response.status, response.cause))
                     .collect();
-                out = kinds.into_iter().collect::<Vec<_>>().join(", ");
+                out = refusals.into_iter().collect::<Vec<_>>().join(", ");
                 if out.is_empty() {
                     out = "none".to_owned();
                 }
@@ -204,10 +248,10 @@
                 let secret = self.key(&first).secret.clone();
                 let req = request("chart", Some(&secret), "single");
                 out = match runtime.block_on(send(self.fleet().vms[vm - 1].callers(), req)) {
-                    Ok(answer) => {
-                        let cause = answer.headers().get("filbertgrade-cause");
+                    Ok(response) => {
+                        let cause = response.headers().get("filbertgrade-cause");
                         let cause = cause.map_or("", |cause| cause.to_str().unwrap());
-                        format!("{} {cause}", answer.status().as_u16())
+                        format!("{} {cause}", response.status().as_u16())
                     }
                     Err(_) => "no answer".to_owned(),
                 };
@@ -221,8 +265,8 @@
                 let within = millis(&mut args, "within")?.ok_or("within is missing")?;
                 let only = value::<usize>(&mut args, "vm")?;
                 let start = Instant::now();
-                let late = self.not_in_force(&first, only, within);
-                out = late.map_or("yes".into(), |vm| format!("no, not on {vm}"));
+                let missing = self.not_in_force(&first, only, within);
+                out = missing.map_or("yes".into(), |vm| format!("no, not on {vm}"));
                 eprintln!(
                     "event=measured scenario={} version={first} in_force_ms={}",
                     self.name,
@@ -237,14 +281,16 @@
                 let load = self.versions.get(&first).ok_or("not followed")?;
                 let vms = 0..self.fleet().vms.len();
                 let reverted = vms.filter(|&n| {
-                    let answers = load.answers(n);
-                    let mut after = answers.iter().skip_while(|answer| answer.status != 200);
-                    after.any(|answer| answer.status == 404)
+                    let responses = load.responses(n);
+                    let mut after = responses
+                        .iter()
+                        .skip_while(|response| response.status != 200);
+                    after.any(|response| response.status == 404)
                 });
                 out = reverted.count().to_string();
             }
             "cut" => {
-                let vms = numbers(&first)?;
+                let vms = vm_indices(&first)?;
                 if let Some(on) = value(&mut args, "store")? {
                     self.fleet().cut_from_store(&vms, on);
                 }
@@ -269,19 +315,19 @@
                 if let Some(changes) = value(&mut args, "history")? {
                     platform.set_history(changes);
                 }
-                if let Some(answers) = value(&mut args, "lose")? {
-                    platform.lose_next_answers(answers);
+                if let Some(writes) = value(&mut args, "lose")? {
+                    platform.lose_next_answers(writes);
                 }
                 if let Some(lag) = value(&mut args, "vm_lag")? {
                     platform.set_vm_lag(Duration::from_millis(lag));
                 }
-                if let Some(answers) = value(&mut args, "lose_to_vms")? {
-                    self.fleet().lose_store_answers(answers);
+                if let Some(on) = value(&mut args, "lose_to_vms")? {
+                    self.fleet().lose_store_answers(on);
                 }
             }
             "signal" => {
                 let processes: Vec<String> = second.split('+').map(ToOwned::to_owned).collect();
-                for n in numbers(&first)? {
+                for n in vm_indices(&first)? {
                     let vm = &self.fleet().vms[n];
                     for process in &processes {
                         let child = if process == "agent" {
@@ -294,7 +340,7 @@
                 }
             }
             "kill" => {
-                for n in numbers(&first)? {
+                for n in vm_indices(&first)? {
                     let vm = &self.fleet().vms[n];
                     let child = if second == "agent" {
                         &vm.agent
@@ -305,7 +351,7 @@
                 }
             }
             "restart" => {
-                for n in numbers(&first)? {
+                for n in vm_indices(&first)? {
                     let vm = &mut self.fleet.as_mut().ok_or("no fleet")?.vms[n];
                     if second.contains("agent") {
                         vm.restart_agent();
@@ -317,7 +363,7 @@
             }
             "list" => {
                 let fleet = self.fleet();
-                for n in numbers(&first)? {
+                for n in vm_indices(&first)? {
                     let vm = &fleet.vms[n];
                     if second == "gone" {
                         fleet.platform.delete_vm(&vm.name);
@@ -336,9 +382,9 @@
                 parts.uri = "/v1/lookup?client=10.1.0.7".parse()?;
                 let req = http::Request::from_parts(parts, body);
                 let sent = send(self.fleet().vms[vm - 1].callers(), req);
-                let answer = runtime.block_on(sent).map_err(|e| e.to_string())?;
+                let response = runtime.block_on(sent).map_err(|e| e.to_string())?;
                 let named = format!("\"vm-{names}\"");
-                let body = String::from_utf8(answer.into_body().to_vec())?;
+                let body = String::from_utf8(response.into_body().to_vec())?;
                 out = if body.contains(&named) { "yes" } else { "no" }.to_owned();
             }
             "count" => self.counted = self.fleet().platform.counts(),
@@ -370,9 +416,9 @@
                 let paused = self.paused.ok_or("no holder was paused")?;
                 Vm::signal(&[&fleet.vms[paused].agent], &first);
             }
-            "shares" => out = self.allocation.faults(),
+            "shares" => out = self.allocation.violations(),
             "holders" => {
-                let several = self.allocation.holders() > 1;
+                let several = self.allocation.holder_count() > 1;
                 out = if several { "several" } else { "one" }.to_owned();
             }
             other => return Err(format!("unknown command {other}").into()),
@@ -389,29 +435,32 @@
             .expect("a scenario starts its fleet first")
     }
 
-    fn key(&mut self, name: &str) -> &mut UsedKey {
-        self.keys.get_mut(name).expect("the key was loaded before")
+    fn key(&mut self, name: &str) -> &mut LoadedKey {
+        self.keys
+            .get_mut(name)
+            .expect("a scenario loads a key before it uses it")
     }
 
-    /// Waits while it looks at the share table and the lease. The allocator
-    /// writes at most every 200 ms.
+    /// Waits, and meanwhile records the share table and the lease every 2 ms. The
+    /// allocator writes at most every 200 ms, so no table is missed.
     fn sleep(&mut self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
             if let Some(fleet) = &self.fleet {
-                self.allocation.look(&fleet.platform);
+                self.allocation.record(&fleet.platform);
             }
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// The first VM that does not serve the version `within` that time.
+    /// Waits up to `within` until every VM, or only VM `only`, serves the version
+    /// `word`. Returns the first VM that does not.
     fn not_in_force(&self, word: &str, only: Option<usize>, within: Duration) -> Option<String> {
         let start = Instant::now();
         for (n, vm) in self.fleet().vms.iter().enumerate() {
             let probe = || async {
-                let answer = send(vm.callers(), request(word, None, "probe")).await;
-                answer.is_ok_and(|answer| answer.status() == 200)
+                let response = send(vm.callers(), request(word, None, "probe")).await;
+                response.is_ok_and(|response| response.status() == 200)
             };
             while only.is_none_or(|only| only == n + 1) && !self.runtime.block_on(probe()) {
                 if start.elapsed() > within {
@@ -423,8 +472,8 @@
         None
     }
 
-    /// Two operators apply at once; how many were accepted, if the accepted
-    /// version comes into force everywhere and stays.
+    /// Applies two versions at once. Returns how many were accepted, if an
+    /// accepted version comes into force on every VM and stays in force.
     fn race(&self, words: &[String; 2]) -> Result<String, Failure> {
         let fleet = self.fleet();
         let (a, b) = self
@@ -447,6 +496,7 @@
         ))
     }
 
+    /// Applies the configuration and waits until every VM serves requests.
     fn make_ready(&self) {
         let fleet = self.fleet();
         self.runtime.block_on(async {
@@ -457,7 +507,8 @@
         });
     }
 
-    /// Starts the command and waits until the platform holds the withdrawal.
+    /// Starts the command that withdraws the key, and waits until the store holds
+    /// the withdrawal.
     fn withdraw(&mut self, name: &str) -> Result<(), Failure> {
         let store = self.fleet().platform.addr().to_string();
         let id = self
@@ -490,10 +541,11 @@
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        Err("the withdrawal did not reach the platform".into())
+        Err("the withdrawal did not reach the store".into())
     }
 }
 
+/// Takes the argument `key` and parses it; `None` when it is absent.
 fn value<T: FromStr>(args: &mut ArgumentConsumer<'_>, key: &str) -> Result<Option<T>, Failure>
 where
     T::Err: Error + 'static,
@@ -501,11 +553,13 @@
     Ok(args.take_key(key).map(str::parse).transpose()?)
 }
 
+/// Takes the argument `key` as a time in milliseconds.
 fn millis(args: &mut ArgumentConsumer<'_>, key: &str) -> Result<Option<Duration>, Failure> {
     Ok(value(args, key)?.map(Duration::from_millis))
 }
 
-/// Applies the fleet's configuration with an open service `word`; the exit code.
+/// Applies the fleet's configuration with an open service `word`. Returns the
+/// exit code of the command, which is `None` when a signal ended it.
 async fn apply(fleet: &Fleet, word: &str) -> Result<Option<i32>, Failure> {
     let file = tempfile::NamedTempFile::new()?;
     std::fs::write(file.path(), fleet.config().replace("size-list", word))?;
@@ -515,7 +569,8 @@
     Ok(invoke(&args).await.status.code())
 }
 
-fn numbers(text: &str) -> Result<Vec<usize>, Failure> {
+/// Parses a list of VM numbers such as `1,3` to indices counted from 0.
+fn vm_indices(text: &str) -> Result<Vec<usize>, Failure> {
     text.split(',')
         .map(|n| Ok(n.parse::<usize>()? - 1))
         .collect()
