--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -40,8 +40,7 @@
 //! - `store FAULT=VALUE`: sets a fault of the store: `down=BOOL`,
 //!   `unresponsive=BOOL` (accepts calls and never responds), `delay=MS` of each
 //!   call, `stale=N` (reads lag by N revisions), `history=N` (changes kept for
-//!   watches), `lose=N` (the responses to the next N writes are
-//!   lost),
+//!   watches), `lose=N` (the responses to the next N writes are lost),
 //!   `vm_lag=MS` of the VM list, `lose_to_vms=BOOL` (responses to VMs are lost).
 //! - `signal n PROCESS SIGNAL`, `restart n PROCESS`, `kill n PROCESS`: acts on
 //!   processes of VMs; `agent+entry` names both.
