--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -6,7 +6,7 @@
 
 use filbertgrade_coord::bucket::RateShare;
 use filbertgrade_coord::ledger::{
-    self, Admission as Decision, AdmissionRefusal, LedgerConfig, LedgerSnapshot, LendOutcome,
+    Admission as Decision, AdmissionRefusal, LedgerConfig, LedgerSnapshot, LendOutcome, Loan,
     LoanAction, LoanRequest, LoanReturn, Renewal, RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{TeamName, VmName};
@@ -17,7 +17,7 @@
 use crate::request::{Cause, Refusal};
 use crate::sync::{lock, read, write};
 use crate::version::InForce;
-use crate::wire::{Body, Borrow, Loan};
+use crate::wire::{Body, Borrow, LoanMessage};
 
 /// Longest time a request waits for a token. A longer queue would only delay
 /// the refusal.
@@ -160,7 +160,7 @@
 
     /// Lends a peer the part of this VM's share that its own demand leaves
     /// unused. Returns `None` when nothing can be lent.
-    pub(crate) fn lend(&self, team: &TeamName, request: &LoanRequest) -> Option<ledger::Loan> {
+    pub(crate) fn lend(&self, team: &TeamName, request: &LoanRequest) -> Option<Loan> {
         let share = self.find(team)?;
         match share.state().ledger.lend(Instant::now(), request) {
             LendOutcome::Lent(loan) => {
@@ -429,8 +429,8 @@
     }
 }
 
-fn credit_loan(share: &TeamShare, request: &LoanRequest, loan: Loan) {
-    match loan.into_parcel(request) {
+fn credit_loan(share: &TeamShare, request: &LoanRequest, loan: LoanMessage) {
+    match loan.into_loan(request) {
         Ok(Some(loan)) => {
             let credit = share.state().ledger.credit(Instant::now(), &loan);
             log::debug!("event=loan team={} outcome={credit:?}", share.name);
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -12,7 +12,7 @@
 use crate::connection::PeerLink;
 use crate::logfmt;
 use crate::version::{InForce, IncomingDelta};
-use crate::wire::{Body, Feed, Hello, Report};
+use crate::wire::{Body, EntryReport, Feed, FeedRequest};
 
 /// Timeout for one reply of the agent. The agent replies immediately when it
 /// has newer state, otherwise when its state changes, and at the latest after
@@ -32,14 +32,14 @@
     let mut incoming = IncomingDelta::default();
     loop {
         let sent_at = Instant::now();
-        let hello = Hello {
+        let hello = FeedRequest {
             revision: objects.revision(),
             resume: incoming.resume(),
         };
-        match link.call(Body::Hello(hello), FEED_TIMEOUT).await {
+        match link.call(Body::FeedRequest(hello), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
                 apply_feed(&entry, &mut objects, &mut incoming, feed, sent_at);
-                let _ = link.notify(Body::Report(report(&entry))).await;
+                let _ = link.notify(Body::EntryReport(report(&entry))).await;
             }
             Ok(_) => tokio::time::sleep(RETRY_DELAY).await,
             Err(error) => {
@@ -99,9 +99,9 @@
     entry.in_force.store(Arc::new(view));
 }
 
-fn report(entry: &Entry) -> Report {
+fn report(entry: &Entry) -> EntryReport {
     let view = entry.view();
-    Report {
+    EntryReport {
         revision: view.revision,
         share_table_version: entry.admission.version_in_effect(),
         config_version: view.config_version,
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -393,7 +393,7 @@
             deadline_ms: wait.as_millis().try_into().unwrap_or(u32::MAX),
             remote: self.origin(id) == Origin::Remote,
             avoid: criteria.avoid.iter().map(ToString::to_string).collect(),
-            resting: ejected == EjectedEndpoints::Include,
+            use_ejected: ejected == EjectedEndpoints::Include,
         });
         let (tx, rx) = oneshot::channel();
         let slots = self.clone();
@@ -485,7 +485,7 @@
             deadline: Instant::now() + wait.max(Duration::from_millis(1)),
             avoid: pool::endpoint_names(&avoid),
         };
-        let ejected = if message.resting {
+        let ejected = if message.use_ejected {
             EjectedEndpoints::Include
         } else {
             EjectedEndpoints::Exclude
