--- a/crates/filbertgrade-blocks/examples/measure.rs
+++ b/crates/filbertgrade-blocks/examples/measure.rs
@@ -1,11 +1,12 @@
-//! Measures the table at several sizes and prints one JSON object.
+//! Measures look-ups, deltas, copies and memory of the table at several sizes, and prints one JSON
+//! object.
 //!
 //! `cargo run --release -p filbertgrade-blocks --example measure -- [--blocks N] [--seed S]`
 //!
 //! Without `--blocks`, the sizes are 50,000, 500,000 and 5,000,000. The blocks are synthetic:
 //! 85% IPv4 (of which 90% are /24, 6% /22 and 4% /28 inside a /24 of the table) and 15% IPv6
-//! (/48 and /56 within some thousands of /32). Blocks near each other share a site: 70% have
-//! the usual site of their neighbourhood, 20% one of three others, 10% any site.
+//! (/48 and /56 within some thousands of /32). Neighbouring blocks tend to share a site:
+//! 70% have the main site of their /16 or /32, 20% one of three others, and 10% a random site.
 
 use std::collections::HashSet;
 use std::env;
@@ -18,7 +19,7 @@
 
 use filbertgrade_blocks::{
     BlockDelta, BlockEntry, BlockTable, EncodedTable, FetchConfig, FetchPlan, FetchStep,
-    PartialTable, PeerId, Received, SharedBlockTable, SiteId, Version,
+    PartialTable, PeerId, ReceiveOutcome, SharedBlockTable, SiteId, Version,
 };
 use hdrhistogram::Histogram;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -27,19 +28,23 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
+/// Number of sites.
 const SITES: u16 = 770;
+/// Numbers of blocks without `--blocks`.
 const SIZES: [usize; 3] = [50_000, 500_000, 5_000_000];
 const DEFAULT_SEED: u64 = 20_260_101;
-/// Look-ups in one timed pass.
+/// Number of look-ups in one timed pass.
 const LOOKUPS: usize = 2_000_000;
-/// Distinct blocks that clustered look-ups come from.
+/// Number of distinct blocks that the addresses of clustered look-ups are in.
 const CLUSTER_BLOCKS: usize = 2_000;
-/// Time per phase of the swap measurement.
+/// Duration of each phase of the swap measurement.
 const SWAP_PHASE: Duration = Duration::from_secs(2);
-/// Time between two swaps. 2,600 changes a day are one in 33 s; this is 660 times as many.
+/// Time between two swaps. The target of 2,600 changes a day is one in 33 s; this rate is 660 times
+/// as high.
 const SWAP_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of threads that look up addresses during the swap measurement.
 const READERS: usize = 3;
-/// Round trip between peers in the simulated fetch.
+/// Round-trip time between peers in the simulated fetch.
 const ROUND_TRIP: Duration = Duration::from_millis(110);
 
 fn main() {
@@ -68,6 +73,7 @@
     (sizes, seed)
 }
 
+/// Runs all measurements on a table of `blocks` entries.
 fn measure(blocks: usize, seed: u64) -> Value {
     let mut rng = StdRng::seed_from_u64(seed);
     let entries = synthesize(blocks, &mut rng);
@@ -76,26 +82,26 @@
     let table = BlockTable::build(Version(1), &entries).expect("valid entries");
     let build = started.elapsed();
     let started = Instant::now();
-    let flat = Flat::build(&entries);
+    let flat = FlatTable::build(&entries);
     let flat_build = started.elapsed();
 
-    let random = addresses(&entries, entries.len(), &mut rng);
-    let clustered = addresses(&entries, CLUSTER_BLOCKS.min(entries.len()), &mut rng);
+    let random_addrs = addresses(&entries, entries.len(), &mut rng);
+    let clustered_addrs = addresses(&entries, CLUSTER_BLOCKS.min(entries.len()), &mut rng);
     let lookups = json!({
-        "random": compare(&table, &flat, &random),
-        "clustered": compare(&table, &flat, &clustered),
+        "random": compare_layouts(&table, &flat, &random_addrs),
+        "clustered": compare_layouts(&table, &flat, &clustered_addrs),
     });
     drop(flat);
 
     let base = table.version();
     let deltas = [1, 100, 10_000].map(|count| {
         let changes = make_delta(base, &entries, count, &mut rng);
-        delta(&table, &changes)
+        measure_delta(&table, &changes)
     });
-    let delta_ipv6 = delta(&table, &make_v6_delta(base, &entries));
-    let copy = copy(&table);
-    let scattered = scattered_sites(&entries, &mut rng);
-    let swap = swap(&table, &entries, &random, &mut rng);
+    let delta_ipv6 = measure_delta(&table, &make_v6_delta(base, &entries));
+    let copy = measure_copy(&table);
+    let scattered = encoded_bytes_with_random_sites(&entries, &mut rng);
+    let swap = measure_swaps(&table, &entries, &random_addrs, &mut rng);
     json!({
         "blocks": table.entry_count(),
         "ranges": table.range_count(),
@@ -112,7 +118,7 @@
     })
 }
 
-/// Makes distinct blocks.
+/// Generates distinct blocks, as described at the top of the file.
 fn synthesize(blocks: usize, rng: &mut StdRng) -> Vec<BlockEntry> {
     let mut seen = HashSet::with_capacity(blocks);
     let mut entries = Vec::with_capacity(blocks);
@@ -137,6 +143,7 @@
     entries
 }
 
+/// Generates an IPv4 block. `recent` is the last /24, in which a /28 is placed.
 fn v4_block(recent: &mut u32, rng: &mut StdRng) -> Ipv4Net {
     let (addr, len) = match rng.random_range(0..100) {
         0..4 => (*recent | rng.random_range(0..256), 28),
@@ -149,22 +156,23 @@
     Ipv4Net::new_assert(Ipv4Addr::from_bits(addr), len).trunc()
 }
 
-/// Chooses a site that depends on the /16 or /32 of the block, with exceptions.
+/// Chooses a site: in most cases the main site of the block's /16 or /32, or one near it.
 fn site_near(prefix: IpNet, rng: &mut StdRng) -> SiteId {
     let area = match prefix {
         IpNet::V4(net) => net.addr().to_bits() >> 16,
         IpNet::V6(net) => (net.addr().to_bits() >> 96) as u32,
     };
-    let usual = area.wrapping_mul(0x9e37_79b1) >> 8;
+    let main = area.wrapping_mul(0x9e37_79b1) >> 8;
     let site = match rng.random_range(0..100) {
-        0..70 => usual,
-        70..90 => usual + rng.random_range(1..4),
+        0..70 => main,
+        70..90 => main + rng.random_range(1..4),
         _ => rng.random(),
     };
     SiteId((site % u32::from(SITES)) as u16)
 }
 
-/// Returns addresses in blocks drawn from the first `from` entries. One in 50 is anywhere.
+/// Returns addresses in blocks drawn from the first `from` entries. One address in 50 is drawn from
+/// the whole IPv4 address space instead.
 fn addresses(entries: &[BlockEntry], from: usize, rng: &mut StdRng) -> Vec<IpAddr> {
     (0..LOOKUPS)
         .map(|_| {
@@ -185,20 +193,23 @@
         .collect()
 }
 
-/// The alternative layout: one sorted array of ranges per family, searched as a whole.
-struct Flat {
+/// An alternative layout for comparison: one sorted array of ranges per address family, with a
+/// binary search over the whole array.
+struct FlatTable {
+    /// First address and site of each IPv4 range.
     v4: (Vec<u32>, Vec<u16>),
+    /// First address and site of each IPv6 range.
     v6: (Vec<u128>, Vec<u16>),
 }
 
-impl Flat {
-    fn build(entries: &[BlockEntry]) -> Flat {
+impl FlatTable {
+    fn build(entries: &[BlockEntry]) -> FlatTable {
         let (mut v4, mut v6) = (Vec::new(), Vec::new());
         for entry in entries {
             match entry.prefix {
                 IpNet::V4(net) => {
-                    let (low, len) = (u128::from(net.addr().to_bits()) << 96, net.prefix_len());
-                    v4.push((low, len, entry.site.0));
+                    let (first, len) = (u128::from(net.addr().to_bits()) << 96, net.prefix_len());
+                    v4.push((first, len, entry.site.0));
                 }
                 IpNet::V6(net) => v6.push((net.addr().to_bits(), net.prefix_len(), entry.site.0)),
             }
@@ -208,7 +219,7 @@
             starts.iter().map(|start| (start >> 96) as u32).collect(),
             sites,
         );
-        Flat {
+        FlatTable {
             v4,
             v6: flatten(v6),
         }
@@ -234,10 +245,12 @@
     }
 }
 
+/// Turns nested blocks into disjoint ranges. Returns the first address and the site of each.
 fn flatten(mut blocks: Vec<(u128, u8, u16)>) -> (Vec<u128>, Vec<u16>) {
     blocks.sort_unstable();
     let mut ranges: Vec<(u128, u16)> = vec![(0, u16::MAX)];
-    let mut open: Vec<(u128, u16)> = Vec::new();
+    // The blocks that enclose the current position, outermost first: last address and site.
+    let mut enclosing: Vec<(u128, u16)> = Vec::new();
     let mut push = |start, site| {
         if ranges.last().is_some_and(|last| last.0 == start) {
             ranges.pop();
@@ -246,31 +259,34 @@
             ranges.push((start, site));
         }
     };
-    for (low, len, site) in blocks {
-        while let Some((last, _)) = open.pop_if(|(last, _)| *last < low) {
-            push(last + 1, open.last().map_or(u16::MAX, |&(_, site)| site));
+    for (first, len, site) in blocks {
+        while let Some((last, _)) = enclosing.pop_if(|(last, _)| *last < first) {
+            push(
+                last + 1,
+                enclosing.last().map_or(u16::MAX, |&(_, site)| site),
+            );
         }
-        push(low, site);
-        open.push((low | u128::MAX.checked_shr(len.into()).unwrap_or(0), site));
+        push(first, site);
+        enclosing.push((first | u128::MAX.checked_shr(len.into()).unwrap_or(0), site));
     }
-    while let Some((last, _)) = open.pop() {
-        if let Some(after) = last.checked_add(1) {
-            push(after, open.last().map_or(u16::MAX, |&(_, site)| site));
+    while let Some((last, _)) = enclosing.pop() {
+        if let Some(next) = last.checked_add(1) {
+            push(next, enclosing.last().map_or(u16::MAX, |&(_, site)| site));
         }
     }
     ranges.into_iter().unzip()
 }
 
-/// Times both layouts in turns on one core and takes the median of five passes each.
-fn compare(table: &BlockTable, flat: &Flat, addrs: &[IpAddr]) -> Value {
+/// Times both layouts alternately on one thread. The rates are the medians of five passes each.
+fn compare_layouts(table: &BlockTable, flat: &FlatTable, addrs: &[IpAddr]) -> Value {
     for &addr in &addrs[..10_000] {
         assert_eq!(table.lookup(addr), flat.lookup(addr), "{addr}");
     }
     let mut paged_rates = Vec::new();
     let mut flat_rates = Vec::new();
     for _ in 0..5 {
-        paged_rates.push(rate(addrs, |addr| table.lookup(addr)));
-        flat_rates.push(rate(addrs, |addr| flat.lookup(addr)));
+        paged_rates.push(lookup_rate(addrs, |addr| table.lookup(addr)));
+        flat_rates.push(lookup_rate(addrs, |addr| flat.lookup(addr)));
     }
     let (paged, flat_rate) = (median(paged_rates), median(flat_rates));
     json!({
@@ -281,7 +297,8 @@
     })
 }
 
-fn rate(addrs: &[IpAddr], lookup: impl Fn(IpAddr) -> Option<SiteId>) -> f64 {
+/// Returns the look-ups per second of one pass over `addrs`.
+fn lookup_rate(addrs: &[IpAddr], lookup: impl Fn(IpAddr) -> Option<SiteId>) -> f64 {
     let started = Instant::now();
     for &addr in addrs {
         black_box(lookup(addr));
@@ -294,7 +311,8 @@
     values[values.len() / 2]
 }
 
-/// Makes a delta of which four fifths change a site and the rest remove a block.
+/// Generates a delta with `count` changes, of which four fifths change the site of a block and the
+/// rest remove a block.
 fn make_delta(base: Version, entries: &[BlockEntry], count: usize, rng: &mut StdRng) -> BlockDelta {
     let mut chosen: Vec<usize> = rand::seq::index::sample(rng, entries.len(), count).into_vec();
     chosen.shuffle(rng);
@@ -314,7 +332,7 @@
     }
 }
 
-/// Makes a delta that changes the site of the first IPv6 block.
+/// Returns a delta that changes the site of the first IPv6 block.
 fn make_v6_delta(base: Version, entries: &[BlockEntry]) -> BlockDelta {
     let mut set = entries.to_vec();
     set.retain(|entry| matches!(entry.prefix, IpNet::V6(_)));
@@ -329,7 +347,9 @@
     }
 }
 
-fn delta(table: &BlockTable, delta: &BlockDelta) -> Value {
+/// Measures the encoded size of a delta, and the median times to decode it, to apply it and to free
+/// the resulting table.
+fn measure_delta(table: &BlockTable, delta: &BlockDelta) -> Value {
     let parts = delta.encode().expect("valid entries");
     let bytes: usize = parts.iter().map(|part| part.bytes().len()).sum();
     let mut apply = Vec::new();
@@ -356,13 +376,16 @@
     })
 }
 
-fn copy(table: &BlockTable) -> Value {
+/// Measures the size of a whole copy, the times to encode and assemble it, and a simulated fetch
+/// without and with a peer that stops responding.
+fn measure_copy(table: &BlockTable) -> Value {
     let started = Instant::now();
     let encoded = table.encode();
     let encode = started.elapsed();
     let longest = encoded.chunks.iter().map(|chunk| chunk.bytes().len()).max();
-    let (seconds, spent, assemble) = fetch(&encoded, &[1, 2, 3], None);
-    let (vanish_seconds, vanish_spent, _) = fetch(&encoded, &[1, 2, 3], Some(PeerId(2)));
+    let (seconds, spent, assemble) = simulate_fetch(&encoded, &[1, 2, 3], None);
+    let (peer_loss_seconds, peer_loss_spent, _) =
+        simulate_fetch(&encoded, &[1, 2, 3], Some(PeerId(2)));
     json!({
         "chunks": encoded.chunks.len(),
         "longest_chunk_bytes": longest,
@@ -373,14 +396,19 @@
         "assemble_s": assemble.as_secs_f64(),
         "fetch_s_at_11_kb_s": seconds,
         "fetch_spent_bytes": spent,
-        "fetch_s_when_a_peer_vanishes": vanish_seconds,
-        "fetch_spent_bytes_when_a_peer_vanishes": vanish_spent,
+        "fetch_s_when_a_peer_vanishes": peer_loss_seconds,
+        "fetch_spent_bytes_when_a_peer_vanishes": peer_loss_spent,
     })
 }
 
-/// Runs a fetch plan against simulated time. Peer `vanishing` falls silent after a third of the
-/// bytes. Returns the simulated seconds, the bytes spent, and the real time to assemble.
-fn fetch(encoded: &EncodedTable, peers: &[u32], vanishing: Option<PeerId>) -> (f64, u64, Duration) {
+/// Runs a fetch plan in simulated time. The peer `failing`, if any, stops responding after a third
+/// of the bytes. Returns the simulated seconds, the bytes charged to the budget, and the real time
+/// to assemble the table.
+fn simulate_fetch(
+    encoded: &EncodedTable,
+    peers: &[u32],
+    failing: Option<PeerId>,
+) -> (f64, u64, Duration) {
     let config = FetchConfig::default();
     let overhead = u64::from(config.overhead_bytes);
     let mut plan = FetchPlan::new(&encoded.manifest, config);
@@ -389,14 +417,14 @@
     let mut now = Duration::ZERO;
     let mut spent = 0;
     let mut assemble = Duration::ZERO;
-    let mut replies: Vec<(Duration, filbertgrade_blocks::PieceRequest)> = Vec::new();
+    let mut responses: Vec<(Duration, filbertgrade_blocks::PieceRequest)> = Vec::new();
     loop {
-        if let Some(index) = replies.iter().position(|(at, _)| *at <= now) {
-            let (_, request) = replies.remove(index);
+        if let Some(index) = responses.iter().position(|(at, _)| *at <= now) {
+            let (_, request) = responses.remove(index);
             let start = request.offset as usize;
             let bytes = &encoded.chunks[request.index].as_ref()[start..][..request.len as usize];
-            let received = plan.received(request.peer, request.index, request.offset, bytes);
-            if let Received::Chunk { index, bytes } = received {
+            let outcome = plan.receive(request.peer, request.index, request.offset, bytes);
+            if let ReceiveOutcome::Chunk { index, bytes } = outcome {
                 let started = Instant::now();
                 partial.insert(index, &bytes).expect("a valid chunk");
                 assemble += started.elapsed();
@@ -406,22 +434,22 @@
         match plan.next(now) {
             FetchStep::Request(request) => {
                 spent += u64::from(request.len) + overhead;
-                let gone = spent > encoded.manifest.total_bytes() / 3;
-                if vanishing != Some(request.peer) || !gone {
-                    // The reply takes as long as its bytes do at the budgeted rate.
+                let failed = spent > encoded.manifest.total_bytes() / 3;
+                if failing != Some(request.peer) || !failed {
+                    // The transfer of the response takes as long as its bytes at the budgeted rate.
                     let transfer = Duration::from_secs_f64(f64::from(request.len) / 11_000.0);
-                    replies.push((now + ROUND_TRIP + transfer, request));
+                    responses.push((now + ROUND_TRIP + transfer, request));
                 }
             }
             FetchStep::Wait { until } => {
-                now = replies
+                now = responses
                     .iter()
                     .map(|(at, _)| *at)
                     .chain([until])
                     .min()
                     .unwrap_or(until);
             }
-            FetchStep::NoPeers => panic!("peers that answer remain"),
+            FetchStep::NoPeers => panic!("peers that respond remain"),
             FetchStep::Done => break,
         }
     }
@@ -429,14 +457,14 @@
     drop(
         partial
             .finish()
-            .expect("a matching count")
-            .expect("every chunk"),
+            .expect("the entry count matches")
+            .expect("every chunk is loaded"),
     );
     (now.as_secs_f64(), spent, assemble + started.elapsed())
 }
 
-/// Returns the encoded size when sites do not depend on the place of a block.
-fn scattered_sites(entries: &[BlockEntry], rng: &mut StdRng) -> u64 {
+/// Returns the encoded size if every block has a random site, independent of its neighbours.
+fn encoded_bytes_with_random_sites(entries: &[BlockEntry], rng: &mut StdRng) -> u64 {
     let scattered: Vec<BlockEntry> = entries
         .iter()
         .map(|entry| BlockEntry {
@@ -448,31 +476,39 @@
     table.encode().manifest.total_bytes()
 }
 
-/// Compares the latency of single look-ups without and with swaps, alternating between phases.
-fn swap(table: &BlockTable, entries: &[BlockEntry], addrs: &[IpAddr], rng: &mut StdRng) -> Value {
+/// Compares the latency of single look-ups without and with concurrent swaps of the table, in
+/// alternating phases.
+fn measure_swaps(
+    table: &BlockTable,
+    entries: &[BlockEntry],
+    addrs: &[IpAddr],
+    rng: &mut StdRng,
+) -> Value {
     let shared = SharedBlockTable::new(table.clone());
     let mut quiet = Histogram::new(3).expect("valid precision");
-    let mut busy = Histogram::new(3).expect("valid precision");
+    let mut swapping = Histogram::new(3).expect("valid precision");
     let mut swaps = 0;
     for _ in 0..2 {
         quiet
-            .add(read_under_load(&shared, addrs, || {
+            .add(time_lookups_during(&shared, addrs, || {
                 thread::sleep(SWAP_PHASE);
             }))
             .expect("equal bounds");
-        busy.add(read_under_load(&shared, addrs, || {
-            let started = Instant::now();
-            while started.elapsed() < SWAP_PHASE {
-                let present = shared.load().version();
-                let mut delta = make_delta(present, entries, 100, rng);
-                // A block that an earlier delta removed cannot be removed again.
-                delta.removed.clear();
-                drop(shared.apply(&delta).expect("a matching delta"));
-                swaps += 1;
-                thread::sleep(SWAP_INTERVAL);
-            }
-        }))
-        .expect("equal bounds");
+        swapping
+            .add(time_lookups_during(&shared, addrs, || {
+                let started = Instant::now();
+                while started.elapsed() < SWAP_PHASE {
+                    let current = shared.load().version();
+                    let mut delta = make_delta(current, entries, 100, rng);
+                    // Removals are left out, because the same block could be drawn again later and
+                    // removing it twice is an error.
+                    delta.removed.clear();
+                    drop(shared.apply(&delta).expect("a matching delta"));
+                    swaps += 1;
+                    thread::sleep(SWAP_INTERVAL);
+                }
+            }))
+            .expect("equal bounds");
     }
     let quantiles = |histogram: &Histogram<u64>| {
         json!({
@@ -482,19 +518,20 @@
             "max_ns": histogram.max(),
         })
     };
-    let ratio = |q| busy.value_at_quantile(q) as f64 / quiet.value_at_quantile(q) as f64;
+    let ratio = |q| swapping.value_at_quantile(q) as f64 / quiet.value_at_quantile(q) as f64;
     json!({
         "readers": READERS,
         "swaps": swaps,
         "quiet": quantiles(&quiet),
-        "swapping": quantiles(&busy),
+        "swapping": quantiles(&swapping),
         "p99_ratio": ratio(0.99),
         "p999_ratio": ratio(0.999),
     })
 }
 
-/// Times every look-up of several readers while `work` runs.
-fn read_under_load(
+/// Runs `work` while [`READERS`] threads look up addresses. Returns the latency of every look-up in
+/// nanoseconds.
+fn time_lookups_during(
     shared: &SharedBlockTable,
     addrs: &[IpAddr],
     work: impl FnOnce(),
@@ -513,7 +550,7 @@
                         let started = Instant::now();
                         black_box(shared.lookup(addr));
                         let ns = started.elapsed().as_nanos() as u64;
-                        histogram.record(ns).expect("a resizable histogram");
+                        histogram.record(ns).expect("the histogram resizes itself");
                     }
                     histogram
                 })
@@ -523,7 +560,7 @@
         stop.store(true, Ordering::Relaxed);
         let mut all = Histogram::new(3).expect("valid precision");
         for reader in readers {
-            all.add(reader.join().expect("a reader that ends"))
+            all.add(reader.join().expect("the reader does not panic"))
                 .expect("equal bounds");
         }
         all
--- a/crates/filbertgrade-blocks/src/chunk.rs
+++ b/crates/filbertgrade-blocks/src/chunk.rs
@@ -1,4 +1,4 @@
-//! The encoded form of a whole table: chunks named by their SHA-256, and the manifest that
+//! The encoded form of a whole table: chunks identified by their SHA-256, and the manifest that
 //! lists them.
 
 use std::fmt;
@@ -9,36 +9,40 @@
 use sha2::{Digest, Sha256};
 
 use crate::codec::{
-    DIGEST_BYTES, EntryWriter, RecordReader, RecordWriter, check_sealed, put_digest, put_varint,
+    DIGEST_BYTES, EntryWriter, RecordReader, RecordWriter, put_digest, put_varint, verify_envelope,
 };
-use crate::entry::{Local, Slot};
-use crate::error::{DecodeError, DecodeKind};
+use crate::entry::{PageEntry, PageKey};
+use crate::error::{DecodeError, DecodeErrorKind};
 use crate::page::Page;
 use crate::table::{BlockTable, Version, page_of};
 
-/// Longest chunk, manifest or part of a delta, in bytes. The platform stores values of up to
+/// Maximum length of a chunk, a manifest or a part of a delta. The platform stores values of up to
 /// 1 MB, and a frame between agents is limited to 1 MiB.
 pub const MAX_CHUNK_BYTES: usize = 1_000_000;
 
-/// A chunk ends at the next boundary key after this many bytes. At 11 KB/s a chunk then takes
-/// about 6 s, which bounds what a corrupt peer can waste.
+/// Once a chunk has this length, it ends before the next boundary page (see
+/// [`is_chunk_boundary`]). At 11 KB/s a chunk of this length takes about 6 s to fetch, which limits
+/// the time lost to a peer that sends corrupt data.
 const MIN_CHUNK_BYTES: usize = 64 * 1024;
 
-/// A chunk ends before a page that would take it past this many bytes.
-const FULL_CHUNK_BYTES: usize = 256 * 1024;
+/// A chunk that already holds a page ends before the next page that would make it longer than
+/// this, boundary or not.
+const SOFT_MAX_CHUNK_BYTES: usize = 256 * 1024;
 
-/// Longest record. The entries of a larger page continue in further chunks.
+/// Length after which the entries of a page continue in another record, which starts a new chunk.
 const MAX_RECORD_BYTES: usize = 128 * 1024;
 
+/// First bytes of an encoded chunk.
 const CHUNK_MAGIC: &str = "FBT1";
+/// First bytes of an encoded manifest.
 const MANIFEST_MAGIC: &str = "FBM1";
 
-/// The SHA-256 of a chunk, which is its name.
+/// The SHA-256 digest of a chunk, which identifies it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkId(pub [u8; DIGEST_BYTES]);
 
 impl ChunkId {
-    /// Computes the name of a chunk from its bytes.
+    /// Computes the identifier of a chunk from its bytes.
     pub fn of(bytes: &[u8]) -> ChunkId {
         ChunkId(Sha256::digest(bytes).into())
     }
@@ -56,7 +60,7 @@
     }
 }
 
-/// Encoded bytes and their name.
+/// An encoded chunk, or an encoded part of a delta, with the SHA-256 digest of its bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     id: ChunkId,
@@ -71,12 +75,12 @@
         }
     }
 
-    /// Returns the name.
+    /// Returns the digest of the bytes.
     pub fn id(&self) -> ChunkId {
         self.id
     }
 
-    /// Returns the bytes.
+    /// Returns the encoded bytes. Cloning the `Arc` shares them.
     pub fn bytes(&self) -> &Arc<[u8]> {
         &self.bytes
     }
@@ -88,52 +92,55 @@
     }
 }
 
-/// What a manifest says about one chunk.
+/// The description of one chunk in a manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChunkInfo {
     id: ChunkId,
-    /// At most [`MAX_CHUNK_BYTES`].
+    /// Length in bytes, at most [`MAX_CHUNK_BYTES`].
     len: u32,
-    /// Ordinals of the slots that the chunk covers, whether or not they hold entries.
+    /// Ordinals of the pages that the chunk covers, including those without entries.
     span: RangeInclusive<u64>,
 }
 
 impl ChunkInfo {
-    /// Returns the name of the chunk.
+    /// Returns the identifier of the chunk.
     pub fn id(&self) -> ChunkId {
         self.id
     }
 
-    /// Returns the length in bytes.
+    /// Returns the length of the chunk in bytes, at most [`MAX_CHUNK_BYTES`].
     pub fn len_bytes(&self) -> usize {
         self.len as usize
     }
 
-    /// Checks the bytes of the chunk and returns its entries by page. Memory is at most 64
-    /// times the length of the chunk: an entry takes at least one byte, and 32 bytes in a vector
-    /// that may be half empty.
-    pub(crate) fn decode(&self, bytes: &[u8]) -> Result<Vec<(Slot, Vec<Local>)>, DecodeError> {
+    /// Verifies the bytes of the chunk and returns its entries by page. Memory use is at most 64
+    /// times the length of the chunk: an encoded entry takes at least one byte, and a decoded one
+    /// takes 32 bytes in a vector of which up to half is spare capacity.
+    pub(crate) fn decode(
+        &self,
+        bytes: &[u8],
+    ) -> Result<Vec<(PageKey, Vec<PageEntry>)>, DecodeError> {
         if bytes.len() > MAX_CHUNK_BYTES {
-            let kind = DecodeKind::TooLong {
+            let kind = DecodeErrorKind::TooLong {
                 len: bytes.len(),
                 limit: MAX_CHUNK_BYTES,
             };
             return Err(kind.into());
         }
         if ChunkId::of(bytes) != self.id {
-            return Err(DecodeKind::Digest.into());
+            return Err(DecodeErrorKind::DigestMismatch.into());
         }
         let body = bytes.strip_prefix(CHUNK_MAGIC.as_bytes());
-        let body = body.ok_or(DecodeKind::Magic {
+        let body = body.ok_or(DecodeErrorKind::WrongMagic {
             expected: CHUNK_MAGIC,
         })?;
         let mut pages = Vec::new();
         for record in RecordReader::new(body) {
-            let (slot, locals) = record?;
-            if !self.span.contains(&slot.ordinal()) {
-                return Err(DecodeKind::Span.into());
+            let (page_key, entries) = record?;
+            if !self.span.contains(&page_key.ordinal()) {
+                return Err(DecodeErrorKind::OutsideSpan.into());
             }
-            pages.push((slot, locals));
+            pages.push((page_key, entries));
         }
         Ok(pages)
     }
@@ -143,9 +150,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Manifest {
     version: Version,
-    entries: u64,
-    /// In order of their spans, which cover all slots. Spans overlap only where the entries of
-    /// one page continue in the next chunk.
+    /// Number of entries in the whole table.
+    entry_count: u64,
+    /// Sorted by span. The spans cover all pages; two of them overlap only where the entries of one
+    /// page continue in the next chunk.
     chunks: Vec<ChunkInfo>,
 }
 
@@ -157,10 +165,10 @@
 
     /// Returns the number of entries in the table.
     pub fn entry_count(&self) -> u64 {
-        self.entries
+        self.entry_count
     }
 
-    /// Returns the chunks in order.
+    /// Returns the chunks, ordered by the pages that they cover.
     pub fn chunks(&self) -> &[ChunkInfo] {
         &self.chunks
     }
@@ -170,27 +178,27 @@
         self.chunks.iter().map(|chunk| u64::from(chunk.len)).sum()
     }
 
-    /// Returns the indexes of the chunks that hold the page of an address.
+    /// Returns the indexes of the chunks that cover the page of an address.
     pub fn chunks_for(&self, addr: IpAddr) -> RangeInclusive<usize> {
-        self.chunks_of(page_of(addr).0)
+        self.chunks_of_page(page_of(addr).0)
     }
 
-    pub(crate) fn chunks_of(&self, slot: Slot) -> RangeInclusive<usize> {
-        let ordinal = slot.ordinal();
+    pub(crate) fn chunks_of_page(&self, page_key: PageKey) -> RangeInclusive<usize> {
+        let ordinal = page_key.ordinal();
         let first = self
             .chunks
             .partition_point(|chunk| *chunk.span.end() < ordinal);
-        let after = self
+        let end = self
             .chunks
             .partition_point(|chunk| *chunk.span.start() <= ordinal);
-        first..=after - 1
+        first..=end - 1
     }
 
-    /// Encodes the manifest, with a digest at the end.
+    /// Encodes the manifest and appends a digest of the encoded bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut buf = MANIFEST_MAGIC.as_bytes().to_vec();
         put_varint(&mut buf, self.version.0.into());
-        put_varint(&mut buf, self.entries.into());
+        put_varint(&mut buf, self.entry_count.into());
         for chunk in &self.chunks {
             put_varint(&mut buf, (*chunk.span.start()).into());
             put_varint(&mut buf, (chunk.span.end() - chunk.span.start()).into());
@@ -201,25 +209,25 @@
         buf
     }
 
-    /// Decodes a manifest.
+    /// Decodes a manifest and verifies its digest.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are corrupt or longer than [`MAX_CHUNK_BYTES`], or if the chunks do not
-    /// cover the address space in order.
+    /// Fails if the bytes are corrupt or longer than [`MAX_CHUNK_BYTES`], if a listed chunk is
+    /// longer than that, or if the chunks do not cover the address space in order.
     pub fn decode(bytes: &[u8]) -> Result<Manifest, DecodeError> {
-        let mut reader = check_sealed(bytes, MANIFEST_MAGIC, MAX_CHUNK_BYTES)?;
-        let version = Version(reader.number()?);
-        let entries = reader.number()?;
+        let mut reader = verify_envelope(bytes, MANIFEST_MAGIC, MAX_CHUNK_BYTES)?;
+        let version = Version(reader.varint_as()?);
+        let entry_count = reader.varint_as()?;
         let mut chunks = Vec::new();
         while !reader.is_empty() {
-            let start: u64 = reader.number()?;
+            let start: u64 = reader.varint_as()?;
             let end = start
-                .checked_add(reader.number()?)
-                .ok_or(DecodeKind::Coverage)?;
-            let len: u32 = reader.number()?;
+                .checked_add(reader.varint_as()?)
+                .ok_or(DecodeErrorKind::SpanCoverage)?;
+            let len: u32 = reader.varint_as()?;
             if len as usize > MAX_CHUNK_BYTES {
-                let kind = DecodeKind::TooLong {
+                let kind = DecodeErrorKind::TooLong {
                     len: len as usize,
                     limit: MAX_CHUNK_BYTES,
                 };
@@ -233,10 +241,10 @@
                 span: start..=end,
             });
         }
-        check_coverage(&chunks)?;
+        check_span_coverage(&chunks)?;
         Ok(Manifest {
             version,
-            entries,
+            entry_count,
             chunks,
         })
     }
@@ -245,7 +253,7 @@
 /// A whole table in encoded form.
 #[derive(Clone, Debug)]
 pub struct EncodedTable {
-    /// The list of chunks.
+    /// The list of the chunks, with their digests.
     pub manifest: Manifest,
     /// The chunks, in the order of the manifest.
     pub chunks: Vec<Chunk>,
@@ -254,93 +262,95 @@
 impl BlockTable {
     /// Encodes the whole table.
     ///
-    /// Chunk boundaries depend on page keys, so a small change leaves most chunks, and their
-    /// names, as they were.
+    /// Chunk boundaries depend on page keys, so a small change to the table leaves most chunks, and
+    /// therefore their identifiers, unchanged.
     pub fn encode(&self) -> EncodedTable {
         let mut writer = ChunkWriter::default();
-        for (slot, page) in self.pages().filter(|(_, page)| page.entry_count() > 0) {
-            if page.source().len() <= MAX_RECORD_BYTES {
-                writer.push(slot, page.source());
+        for (page_key, page) in self.pages().filter(|(_, page)| page.entry_count() > 0) {
+            if page.encoded().len() <= MAX_RECORD_BYTES {
+                writer.push(page_key, page.encoded());
             } else {
-                for part in split_page(slot, page) {
-                    writer.push(slot, &part);
+                for part in split_page(page_key, page) {
+                    writer.push(page_key, &part);
                 }
             }
         }
-        writer.close(None);
-        let (infos, chunks) = writer.done.into_iter().unzip();
+        writer.finish_chunk(None);
+        let (infos, chunks) = writer.finished.into_iter().unzip();
         let manifest = Manifest {
             version: self.version(),
-            entries: self.entry_count(),
+            entry_count: self.entry_count(),
             chunks: infos,
         };
         EncodedTable { manifest, chunks }
     }
 }
 
-/// Joins records to chunks.
+/// Groups records into chunks.
 #[derive(Debug, Default)]
 struct ChunkWriter {
-    /// First ordinal of the open chunk.
-    first: u64,
-    /// Slot of the last record of the open chunk.
-    last: Option<Slot>,
+    /// First page ordinal that the current chunk covers.
+    first_ordinal: u64,
+    /// Page of the last record in the current chunk; `None` while the chunk is empty.
+    last_page: Option<PageKey>,
+    /// Records of the current chunk.
     records: RecordWriter,
-    done: Vec<(ChunkInfo, Chunk)>,
+    finished: Vec<(ChunkInfo, Chunk)>,
 }
 
 impl ChunkWriter {
-    fn push(&mut self, slot: Slot, entries: &[u8]) {
-        if let Some(last) = self.last {
+    fn push(&mut self, page_key: PageKey, entries: &[u8]) {
+        if let Some(last) = self.last_page {
             let len = self.records.len();
-            let full = len + entries.len() > FULL_CHUNK_BYTES;
-            if last == slot || full || (len >= MIN_CHUNK_BYTES && is_boundary(slot)) {
-                self.close(Some(slot));
+            let full = len + entries.len() > SOFT_MAX_CHUNK_BYTES;
+            if last == page_key || full || (len >= MIN_CHUNK_BYTES && is_chunk_boundary(page_key)) {
+                self.finish_chunk(Some(page_key));
             }
         }
-        self.records.push(slot, entries);
-        self.last = Some(slot);
+        self.records.push(page_key, entries);
+        self.last_page = Some(page_key);
     }
 
-    /// Ends the open chunk. `next` is the slot of the record that follows, if any does.
-    fn close(&mut self, next: Option<Slot>) {
+    /// Ends the current chunk. `next` is the page of the record that follows, or `None` at the end
+    /// of the table.
+    fn finish_chunk(&mut self, next: Option<PageKey>) {
         let mut bytes = CHUNK_MAGIC.as_bytes().to_vec();
         bytes.extend(std::mem::take(&mut self.records).finish());
-        let next_first = next.map(Slot::ordinal);
-        let end = match (next_first, self.last) {
+        let next_ordinal = next.map(PageKey::ordinal);
+        let end = match (next_ordinal, self.last_page) {
             (Some(next), Some(last)) if last.ordinal() == next => next,
             (Some(next), _) => next - 1,
-            (None, _) => Slot::MAX_ORDINAL,
+            (None, _) => PageKey::MAX_ORDINAL,
         };
         let chunk = Chunk::new(bytes);
         let len = chunk.bytes.len() as u32;
-        self.done.push((
+        self.finished.push((
             ChunkInfo {
                 id: chunk.id,
                 len,
-                span: self.first..=end,
+                span: self.first_ordinal..=end,
             },
             chunk,
         ));
-        self.first = next_first.unwrap_or(Slot::MAX_ORDINAL);
-        self.last = None;
+        self.first_ordinal = next_ordinal.unwrap_or(PageKey::MAX_ORDINAL);
+        self.last_page = None;
     }
 }
 
-/// Reports whether a chunk of sufficient length ends before this slot. About one slot in 16
-/// is a boundary; multiplicative hashing spreads them evenly over neighbouring keys.
-fn is_boundary(slot: Slot) -> bool {
-    slot.ordinal().wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60 == 0
+/// Reports whether a chunk of at least [`MIN_CHUNK_BYTES`] ends before this page. About one page in
+/// 16 is a boundary; multiplicative hashing spreads the boundaries evenly over neighbouring keys.
+fn is_chunk_boundary(page_key: PageKey) -> bool {
+    page_key.ordinal().wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 60 == 0
 }
 
-/// Encodes the entries of a large page in several parts.
-fn split_page(slot: Slot, page: &Page) -> Vec<Vec<u8>> {
+/// Encodes the entries of a page that exceeds [`MAX_RECORD_BYTES`] as several records.
+fn split_page(page_key: PageKey, page: &Page) -> Vec<Vec<u8>> {
     let mut parts = Vec::new();
-    let mut writer = EntryWriter::new(slot.width());
-    for local in page.locals() {
-        writer.push(&local);
+    let mut writer = EntryWriter::new(page_key.width());
+    for entry in page.entries() {
+        writer.push(&entry);
         if writer.len() >= MAX_RECORD_BYTES {
-            let full = std::mem::replace(&mut writer, EntryWriter::new(slot.width()));
+            let full = std::mem::replace(&mut writer, EntryWriter::new(page_key.width()));
             parts.push(full.finish());
         }
     }
@@ -350,19 +360,21 @@
     parts
 }
 
-fn check_coverage(chunks: &[ChunkInfo]) -> Result<(), DecodeError> {
+/// Checks that the chunks cover all pages in order, without gaps.
+fn check_span_coverage(chunks: &[ChunkInfo]) -> Result<(), DecodeError> {
     let mut next = 0;
     for chunk in chunks {
         let start = *chunk.span.start();
-        // A span starts where the one before ended when a page continues.
+        // If the entries of a page continue in this chunk, its span starts at the ordinal at which
+        // the previous span ended.
         let continues = next > 0 && start == next - 1;
-        if (start != next && !continues) || *chunk.span.end() > Slot::MAX_ORDINAL {
-            return Err(DecodeKind::Coverage.into());
+        if (start != next && !continues) || *chunk.span.end() > PageKey::MAX_ORDINAL {
+            return Err(DecodeErrorKind::SpanCoverage.into());
         }
         next = chunk.span.end() + 1;
     }
-    if next != Slot::MAX_ORDINAL + 1 {
-        return Err(DecodeKind::Coverage.into());
+    if next != PageKey::MAX_ORDINAL + 1 {
+        return Err(DecodeErrorKind::SpanCoverage.into());
     }
     Ok(())
 }
--- a/crates/filbertgrade-blocks/src/codec.rs
+++ b/crates/filbertgrade-blocks/src/codec.rs
@@ -1,11 +1,12 @@
-//! Varints, the delta encoding of entries, and records of entries by page.
+//! The byte encoding: varints, entries as differences to the entry before, records of entries by
+//! page, and digests.
 
 use sha2::{Digest, Sha256};
 
-use crate::entry::{Local, SiteId, Slot};
-use crate::error::{DecodeError, DecodeKind};
+use crate::entry::{PageEntry, PageKey, SiteId};
+use crate::error::{DecodeError, DecodeErrorKind};
 
-/// Longest varint: 128 bits in groups of 7.
+/// Maximum length of a varint: 128 bits in groups of 7.
 const MAX_VARINT_BYTES: usize = 19;
 
 /// Appends an unsigned LEB128 varint.
@@ -17,7 +18,7 @@
     buf.push(value as u8);
 }
 
-/// Reads from a byte slice, with a typed error at its end.
+/// Reads values from a byte slice. Reading past the end is an error.
 #[derive(Debug)]
 pub(crate) struct Reader<'a> {
     buf: &'a [u8],
@@ -32,15 +33,17 @@
         self.buf.is_empty()
     }
 
+    /// Reads `len` bytes.
     pub(crate) fn bytes(&mut self, len: usize) -> Result<&'a [u8], DecodeError> {
         let (head, rest) = self
             .buf
             .split_at_checked(len)
-            .ok_or(DecodeKind::Truncated)?;
+            .ok_or(DecodeErrorKind::Truncated)?;
         self.buf = rest;
         Ok(head)
     }
 
+    /// Reads all remaining bytes.
     pub(crate) fn rest(&mut self) -> &'a [u8] {
         std::mem::take(&mut self.buf)
     }
@@ -49,6 +52,7 @@
         Ok(self.bytes(1)?[0])
     }
 
+    /// Reads an unsigned LEB128 varint of up to 128 bits.
     pub(crate) fn varint(&mut self) -> Result<u128, DecodeError> {
         let mut value = 0u128;
         for index in 0..MAX_VARINT_BYTES {
@@ -56,65 +60,74 @@
             let group = u128::from(byte & 0x7f);
             let shift = 7 * index as u32;
             if group << shift >> shift != group {
-                return Err(DecodeKind::Varint.into());
+                return Err(DecodeErrorKind::VarintOverflow.into());
             }
             value |= group << shift;
             if byte < 0x80 {
                 return Ok(value);
             }
         }
-        Err(DecodeKind::Varint.into())
+        Err(DecodeErrorKind::VarintOverflow.into())
     }
 
-    /// Reads a varint that must fit the target type.
-    pub(crate) fn number<T: TryFrom<u128>>(&mut self) -> Result<T, DecodeError> {
-        T::try_from(self.varint()?).map_err(|_| DecodeKind::Varint.into())
+    /// Reads a varint and converts it to `T`. A value that does not fit is an error.
+    pub(crate) fn varint_as<T: TryFrom<u128>>(&mut self) -> Result<T, DecodeError> {
+        T::try_from(self.varint()?).map_err(|_| DecodeErrorKind::VarintOverflow.into())
     }
 }
 
-/// What the next entry is encoded against.
+/// State that the encoding of the next entry depends on. The writer and the reader update it in the
+/// same way after each entry.
 #[derive(Clone, Copy, Debug)]
-struct Context {
+struct EntryContext {
+    /// Address bits that the page distinguishes; see [`PageKey::width`].
     width: u8,
-    low: u128,
-    /// The last two distinct lengths, the last first.
-    lens: [u8; 2],
-    /// The last three distinct sites, the last first.
-    sites: [u16; 3],
+    /// Offset of the previous entry.
+    offset: u128,
+    /// The last two distinct prefix lengths, most recent first.
+    recent_lens: [u8; 2],
+    /// The last three distinct sites, most recent first.
+    recent_sites: [u16; 3],
 }
 
-/// Site codes of the header: an index into [`Context::sites`], or this one.
-const SITE_FOLLOWS: u128 = 3;
+/// Site code of a header if the site follows it explicitly. Lower codes are indexes into
+/// [`EntryContext::recent_sites`].
+const EXPLICIT_SITE: u128 = 3;
+/// Number of site codes.
 const SITE_CODES: u128 = 4;
 
-/// Length codes of the header: an index into [`Context::lens`], or this one.
-const LEN_FOLLOWS: u128 = 2;
+/// Length code of a header if the prefix length follows it explicitly. Lower codes are indexes into
+/// [`EntryContext::recent_lens`].
+const EXPLICIT_LEN: u128 = 2;
+/// Number of length codes.
 const LEN_CODES: u128 = 3;
 
-impl Context {
-    fn new(width: u8) -> Context {
-        // The commonest lengths, /24 for IPv4 and /56 and /48 for IPv6, come first.
-        let lens = match width {
+impl EntryContext {
+    fn new(width: u8) -> EntryContext {
+        // Starts with the most common lengths, /24 for IPv4 and /56 and /48 for IPv6, less the bits
+        // that the page key fixes.
+        let recent_lens = match width {
             16 => [8, 16],
             96 => [24, 16],
             _ => [8, 12],
         };
-        Context {
+        EntryContext {
             width,
-            low: 0,
-            lens,
-            sites: [SiteId::RESERVED.0; 3],
+            offset: 0,
+            recent_lens,
+            recent_sites: [SiteId::RESERVED.0; 3],
         }
     }
 
-    fn advance(&mut self, entry: &Local) {
-        self.low = entry.low;
-        move_to_front(&mut self.lens, entry.len);
-        move_to_front(&mut self.sites, entry.site);
+    /// Updates the context after `entry` was written or read.
+    fn advance(&mut self, entry: &PageEntry) {
+        self.offset = entry.offset;
+        move_to_front(&mut self.recent_lens, entry.len);
+        move_to_front(&mut self.recent_sites, entry.site);
     }
 }
 
-/// Puts a value first and drops the last one if the value is new.
+/// Moves a value to the front. If it is new, the last value is dropped.
 fn move_to_front<T: Copy + PartialEq>(recent: &mut [T], value: T) {
     let position = recent.iter().position(|&other| other == value);
     let end = position.unwrap_or(recent.len() - 1);
@@ -122,39 +135,40 @@
     recent[0] = value;
 }
 
-/// Encodes ascending entries of one page.
+/// Encodes entries of one page, which must be in ascending order.
 ///
-/// An entry is a varint header `(step * 3 + length code) * 4 + site code`, then its length (one
-/// byte) and its site (varint) where the codes say so. `step` counts blocks of the entry's own
-/// length from the block that holds the first address of the entry before. Blocks of one area
-/// alternate between few sites and lengths, so the codes refer to the recent ones.
+/// An entry is a varint header `(step * 3 + length code) * 4 + site code`, followed by its prefix
+/// length (one byte) and its site (varint) if the codes are [`EXPLICIT_LEN`] and [`EXPLICIT_SITE`].
+/// `step` is the distance from the previous entry in blocks of this entry's length: it is counted
+/// from the block that holds the first address of the previous entry. Neighbouring blocks alternate
+/// between few sites and lengths, so the other codes refer to the recent ones.
 #[derive(Debug)]
 pub(crate) struct EntryWriter {
-    context: Context,
+    context: EntryContext,
     buf: Vec<u8>,
 }
 
 impl EntryWriter {
     pub(crate) fn new(width: u8) -> EntryWriter {
         EntryWriter {
-            context: Context::new(width),
+            context: EntryContext::new(width),
             buf: Vec::new(),
         }
     }
 
-    pub(crate) fn push(&mut self, entry: &Local) {
-        let Context {
+    pub(crate) fn push(&mut self, entry: &PageEntry) {
+        let EntryContext {
             width,
-            low,
-            lens,
-            sites,
+            offset,
+            recent_lens,
+            recent_sites,
         } = self.context;
         let shift = width - entry.len;
-        let step = (entry.low >> shift) - (low >> shift);
-        let len_code = lens.iter().position(|&len| len == entry.len);
-        let site_code = sites.iter().position(|&site| site == entry.site);
-        let len = len_code.map_or(LEN_FOLLOWS, |code| code as u128);
-        let site = site_code.map_or(SITE_FOLLOWS, |code| code as u128);
+        let step = (entry.offset >> shift) - (offset >> shift);
+        let len_code = recent_lens.iter().position(|&len| len == entry.len);
+        let site_code = recent_sites.iter().position(|&site| site == entry.site);
+        let len = len_code.map_or(EXPLICIT_LEN, |code| code as u128);
+        let site = site_code.map_or(EXPLICIT_SITE, |code| code as u128);
         put_varint(&mut self.buf, (step * LEN_CODES + len) * SITE_CODES + site);
         if len_code.is_none() {
             self.buf.push(entry.len);
@@ -174,10 +188,12 @@
     }
 }
 
-/// Decodes what [`EntryWriter`] wrote and checks order and bounds.
+/// Decodes the output of [`EntryWriter`], and checks the order of the entries and that they lie in
+/// the page.
 #[derive(Debug)]
 pub(crate) struct EntryReader<'a> {
-    context: Context,
+    context: EntryContext,
+    /// Sort key of the previous entry.
     previous: Option<(u128, u8)>,
     reader: Reader<'a>,
 }
@@ -185,58 +201,58 @@
 impl<'a> EntryReader<'a> {
     pub(crate) fn new(width: u8, buf: &'a [u8]) -> EntryReader<'a> {
         EntryReader {
-            context: Context::new(width),
+            context: EntryContext::new(width),
             previous: None,
             reader: Reader::new(buf),
         }
     }
 
-    fn read(&mut self) -> Result<Local, DecodeError> {
-        let Context {
+    fn read(&mut self) -> Result<PageEntry, DecodeError> {
+        let EntryContext {
             width,
-            low,
-            lens,
-            sites,
+            offset,
+            recent_lens,
+            recent_sites,
         } = self.context;
         let header = self.reader.varint()?;
         let len = match header / SITE_CODES % LEN_CODES {
-            LEN_FOLLOWS => self.reader.byte()?,
-            code => lens[code as usize],
+            EXPLICIT_LEN => self.reader.byte()?,
+            code => recent_lens[code as usize],
         };
         if len > width {
-            return Err(DecodeKind::PrefixLength { len, width }.into());
+            return Err(DecodeErrorKind::PrefixTooLong { len, width }.into());
         }
         let site = match header % SITE_CODES {
-            SITE_FOLLOWS => self.reader.number()?,
-            code => sites[code as usize],
+            EXPLICIT_SITE => self.reader.varint_as()?,
+            code => recent_sites[code as usize],
         };
         if site == SiteId::RESERVED.0 {
-            return Err(DecodeKind::ReservedSite.into());
+            return Err(DecodeErrorKind::ReservedSite.into());
         }
         let shift = width - len;
-        let index = (low >> shift) + header / (SITE_CODES * LEN_CODES);
+        let index = (offset >> shift) + header / (SITE_CODES * LEN_CODES);
         if index >> len != 0 {
-            return Err(DecodeKind::OutsidePage.into());
+            return Err(DecodeErrorKind::OutsidePage.into());
         }
-        let entry = Local {
-            low: index << shift,
+        let entry = PageEntry {
+            offset: index << shift,
             len,
             site,
         };
         if self
             .previous
-            .is_some_and(|previous| entry.key() <= previous)
+            .is_some_and(|previous| entry.sort_key() <= previous)
         {
-            return Err(DecodeKind::Order.into());
+            return Err(DecodeErrorKind::NotAscending.into());
         }
         self.context.advance(&entry);
-        self.previous = Some(entry.key());
+        self.previous = Some(entry.sort_key());
         Ok(entry)
     }
 }
 
 impl Iterator for EntryReader<'_> {
-    type Item = Result<Local, DecodeError>;
+    type Item = Result<PageEntry, DecodeError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.reader.is_empty() {
@@ -247,19 +263,21 @@
     }
 }
 
-/// Appends records: the entries of pages in ascending slot order.
+/// Encodes records. A record holds entries of one page; records are in ascending page order.
 ///
-/// A record is the varint step from the ordinal of the slot before, the varint length of the
-/// entries in bytes, and the entries. A page may continue in another chunk with the same slot.
+/// A record consists of the difference of its page ordinal to the previous one as a varint, the
+/// length of the encoded entries in bytes as a varint, and the entries. The entries of a page may
+/// continue in a record of another chunk.
 #[derive(Debug, Default)]
 pub(crate) struct RecordWriter {
     buf: Vec<u8>,
+    /// Page ordinal of the previous record, or 0 before the first.
     previous: u64,
 }
 
 impl RecordWriter {
-    pub(crate) fn push(&mut self, slot: Slot, entries: &[u8]) {
-        let ordinal = slot.ordinal();
+    pub(crate) fn push(&mut self, page_key: PageKey, entries: &[u8]) {
+        let ordinal = page_key.ordinal();
         put_varint(&mut self.buf, u128::from(ordinal - self.previous));
         put_varint(&mut self.buf, entries.len() as u128);
         self.buf.extend_from_slice(entries);
@@ -275,10 +293,11 @@
     }
 }
 
-/// Decodes what [`RecordWriter`] wrote, one record at a time.
+/// Decodes the output of [`RecordWriter`], one record at a time.
 #[derive(Debug)]
 pub(crate) struct RecordReader<'a> {
     reader: Reader<'a>,
+    /// Page ordinal of the previous record.
     previous: Option<u64>,
 }
 
@@ -290,25 +309,25 @@
         }
     }
 
-    fn read(&mut self) -> Result<(Slot, Vec<Local>), DecodeError> {
-        let step: u64 = self.reader.number()?;
+    fn read(&mut self) -> Result<(PageKey, Vec<PageEntry>), DecodeError> {
+        let step: u64 = self.reader.varint_as()?;
         if self.previous.is_some() && step == 0 {
-            return Err(DecodeKind::Order.into());
+            return Err(DecodeErrorKind::NotAscending.into());
         }
         let ordinal = self.previous.unwrap_or(0).checked_add(step);
-        let slot = ordinal
-            .and_then(Slot::from_ordinal)
-            .ok_or(DecodeKind::Span)?;
+        let page_key = ordinal
+            .and_then(PageKey::from_ordinal)
+            .ok_or(DecodeErrorKind::OutsideSpan)?;
         self.previous = ordinal;
-        let len = self.reader.number()?;
-        let entries = self.reader.bytes(len)?;
-        let locals = EntryReader::new(slot.width(), entries).collect::<Result<_, _>>()?;
-        Ok((slot, locals))
+        let len = self.reader.varint_as()?;
+        let encoded = self.reader.bytes(len)?;
+        let entries = EntryReader::new(page_key.width(), encoded).collect::<Result<_, _>>()?;
+        Ok((page_key, entries))
     }
 }
 
 impl Iterator for RecordReader<'_> {
-    type Item = Result<(Slot, Vec<Local>), DecodeError>;
+    type Item = Result<(PageKey, Vec<PageEntry>), DecodeError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.reader.is_empty() {
@@ -322,20 +341,21 @@
 /// Number of bytes in a SHA-256 digest.
 pub(crate) const DIGEST_BYTES: usize = 32;
 
-/// Appends the SHA-256 digest of everything before it.
+/// Appends the SHA-256 digest of the whole buffer.
 pub(crate) fn put_digest(buf: &mut Vec<u8>) {
     let digest = Sha256::digest(&buf);
     buf.extend_from_slice(&digest);
 }
 
-/// Checks length, digest and magic, and returns what lies between magic and digest.
-pub(crate) fn check_sealed<'a>(
+/// Checks the length limit, the trailing digest and the leading magic bytes, in this order. Returns
+/// a reader of the bytes between magic and digest.
+pub(crate) fn verify_envelope<'a>(
     bytes: &'a [u8],
     magic: &'static str,
     limit: usize,
 ) -> Result<Reader<'a>, DecodeError> {
     if bytes.len() > limit {
-        return Err(DecodeKind::TooLong {
+        return Err(DecodeErrorKind::TooLong {
             len: bytes.len(),
             limit,
         }
@@ -344,13 +364,13 @@
     let split = bytes
         .len()
         .checked_sub(DIGEST_BYTES)
-        .ok_or(DecodeKind::Truncated)?;
+        .ok_or(DecodeErrorKind::Truncated)?;
     let (content, digest) = bytes.split_at(split);
     if Sha256::digest(content).as_slice() != digest {
-        return Err(DecodeKind::Digest.into());
+        return Err(DecodeErrorKind::DigestMismatch.into());
     }
     let body = content.strip_prefix(magic.as_bytes());
     Ok(Reader::new(
-        body.ok_or(DecodeKind::Magic { expected: magic })?,
+        body.ok_or(DecodeErrorKind::WrongMagic { expected: magic })?,
     ))
 }
--- a/crates/filbertgrade-blocks/src/delta.rs
+++ b/crates/filbertgrade-blocks/src/delta.rs
@@ -1,17 +1,20 @@
-//! Changes from one version of the table to the next.
+//! The difference between two versions of a table, and its encoding.
 
 use ipnet::IpNet;
 
 use crate::chunk::{Chunk, MAX_CHUNK_BYTES};
-use crate::codec::{EntryWriter, RecordReader, RecordWriter, check_sealed, put_digest, put_varint};
-use crate::entry::{BlockEntry, Local, SiteId, Slot, locate, prefix_of};
-use crate::error::{BuildKind, DecodeError, DecodeKind, DeltaError, DeltaKind};
-use crate::table::{Change, Version, locate_all};
+use crate::codec::{
+    EntryWriter, RecordReader, RecordWriter, put_digest, put_varint, verify_envelope,
+};
+use crate::entry::{BlockEntry, PageEntry, PageKey, SiteId, locate, prefix_of};
+use crate::error::{BuildErrorKind, DecodeError, DecodeErrorKind, DeltaError, DeltaErrorKind};
+use crate::table::{Change, Version, validate_and_sort};
 
+/// First bytes of an encoded part.
 const MAGIC: &str = "FBD1";
 
-/// Changes in one part of an encoded delta. An encoded change takes at most 25 bytes, so a part
-/// stays within [`MAX_CHUNK_BYTES`].
+/// Maximum number of changes in one part of an encoded delta. An encoded change takes at most 25
+/// bytes, so a part stays within [`MAX_CHUNK_BYTES`].
 const CHANGES_PER_PART: usize = 20_000;
 
 /// The changes that turn one version of a table into a newer one.
@@ -19,22 +22,23 @@
 pub struct BlockDelta {
     /// The version that the delta applies to.
     pub base: Version,
-    /// The version that results. Higher than `base`.
+    /// The resulting version, which must be higher than `base`.
     pub version: Version,
-    /// Entries to add, or to change the site of.
+    /// Entries to add. An entry whose prefix is already present replaces the site.
     pub set: Vec<BlockEntry>,
-    /// Prefixes to remove. Each must be present.
+    /// Prefixes to remove. Each must be in the base version.
     pub removed: Vec<IpNet>,
 }
 
 impl BlockDelta {
-    /// Encodes the delta in parts of at most [`MAX_CHUNK_BYTES`], each with its own digest.
+    /// Encodes the delta in one or more parts of at most [`MAX_CHUNK_BYTES`], each with its own
+    /// digest.
     ///
     /// # Errors
     ///
-    /// Fails on invalid or repeated entries.
+    /// Fails on an invalid entry, or if a prefix appears more than once in `set` and `removed`.
     pub fn encode(&self) -> Result<Vec<Chunk>, DeltaError> {
-        let changes = self.located()?;
+        let changes = self.sorted_changes()?;
         let parts = changes.len().div_ceil(CHANGES_PER_PART).max(1);
         let mut chunks = Vec::with_capacity(parts);
         for part in 0..parts {
@@ -54,21 +58,22 @@
         Ok(chunks)
     }
 
-    /// Decodes all parts of one delta, in any order.
+    /// Decodes a delta from all of its parts, in any order.
     ///
     /// # Errors
     ///
-    /// Fails if a part is corrupt or too long, or if the parts are not those of one delta.
+    /// Fails if a part is corrupt or longer than [`MAX_CHUNK_BYTES`], or if the parts do not form
+    /// exactly one delta.
     pub fn decode<B: AsRef<[u8]>>(parts: &[B]) -> Result<BlockDelta, DecodeError> {
         let mut decoded = Vec::with_capacity(parts.len());
         for part in parts {
             decoded.push(Part::decode(part.as_ref())?);
         }
         decoded.sort_unstable_by_key(|part| part.index);
-        let head = decoded
-            .first()
-            .ok_or(DecodeKind::Parts("a delta has at least one part"))?;
-        let (base, version) = (head.base, head.version);
+        let first = decoded.first().ok_or(DecodeErrorKind::WrongParts(
+            "a delta must have at least one part",
+        ))?;
+        let (base, version) = (first.base, first.version);
         let mut delta = BlockDelta {
             base,
             version,
@@ -77,10 +82,15 @@
         };
         for (index, part) in decoded.iter().enumerate() {
             if part.index != index as u64 || part.parts != parts.len() as u64 {
-                return Err(DecodeKind::Parts("a part of the delta is missing or repeated").into());
+                return Err(DecodeErrorKind::WrongParts(
+                    "a part of the delta is missing or duplicated",
+                )
+                .into());
             }
             if (part.base, part.version) != (base, version) {
-                return Err(DecodeKind::Parts("the parts belong to different deltas").into());
+                return Err(
+                    DecodeErrorKind::WrongParts("the parts belong to different deltas").into(),
+                );
             }
             delta.removed.extend_from_slice(&part.removed);
             delta.set.extend_from_slice(&part.set);
@@ -88,44 +98,46 @@
         Ok(delta)
     }
 
-    /// Checks the entries and returns all changes sorted by page and address.
-    pub(crate) fn located(&self) -> Result<Vec<Change>, DeltaError> {
-        let set = locate_all(&self.set).map_err(DeltaKind::Entry)?;
+    /// Validates the changes and returns them sorted by page and address.
+    pub(crate) fn sorted_changes(&self) -> Result<Vec<Change>, DeltaError> {
+        let set = validate_and_sort(&self.set).map_err(DeltaErrorKind::InvalidEntry)?;
         let mut changes: Vec<Change> = set
             .into_iter()
-            .map(|(slot, local)| (slot, local, false))
+            .map(|(page_key, entry)| (page_key, entry, false))
             .collect();
         for (index, prefix) in self.removed.iter().enumerate() {
             if prefix.trunc() != *prefix {
-                let kind = BuildKind::HostBits {
+                let kind = BuildErrorKind::HostBits {
                     index,
                     prefix: *prefix,
                 };
-                return Err(DeltaKind::Entry(kind.into()).into());
+                return Err(DeltaErrorKind::InvalidEntry(kind.into()).into());
             }
-            let (slot, local) = locate(prefix, SiteId(0));
-            changes.push((slot, local, true));
+            let (page_key, entry) = locate(prefix, SiteId(0));
+            changes.push((page_key, entry, true));
         }
-        let key = |&(slot, local, _): &(Slot, Local, bool)| (slot, local.key());
+        let key = |&(page_key, entry, _): &(PageKey, PageEntry, bool)| (page_key, entry.sort_key());
         changes.sort_unstable_by_key(key);
         for pair in changes.windows(2) {
             if key(&pair[0]) == key(&pair[1]) {
-                let kind = BuildKind::Repeated {
+                let kind = BuildErrorKind::Duplicate {
                     prefix: prefix_of(pair[0].0, &pair[0].1),
                 };
-                return Err(DeltaKind::Entry(kind.into()).into());
+                return Err(DeltaErrorKind::InvalidEntry(kind.into()).into());
             }
         }
         Ok(changes)
     }
 }
 
-/// One decoded part.
+/// One decoded part of a delta.
 #[derive(Debug)]
 struct Part {
     base: Version,
     version: Version,
+    /// Position of this part among all parts.
     index: u64,
+    /// Number of all parts.
     parts: u64,
     removed: Vec<IpNet>,
     set: Vec<BlockEntry>,
@@ -133,12 +145,12 @@
 
 impl Part {
     fn decode(bytes: &[u8]) -> Result<Part, DecodeError> {
-        let mut reader = check_sealed(bytes, MAGIC, MAX_CHUNK_BYTES)?;
-        let base = Version(reader.number()?);
-        let version = Version(reader.number()?);
-        let index = reader.number()?;
-        let parts = reader.number()?;
-        let removed_len = reader.number()?;
+        let mut reader = verify_envelope(bytes, MAGIC, MAX_CHUNK_BYTES)?;
+        let base = Version(reader.varint_as()?);
+        let version = Version(reader.varint_as()?);
+        let index = reader.varint_as()?;
+        let parts = reader.varint_as()?;
+        let removed_len = reader.varint_as()?;
         let removed = decode_records(reader.bytes(removed_len)?)?;
         let removed = removed.into_iter().map(|entry| entry.prefix).collect();
         let set = decode_records(reader.rest())?;
@@ -153,13 +165,14 @@
     }
 }
 
+/// Encodes either the removals or the other changes as records.
 fn encode_records(changes: &[Change], removals: bool) -> Vec<u8> {
     let mut records = RecordWriter::default();
     for group in changes.chunk_by(|a, b| a.0 == b.0) {
         let mut writer = EntryWriter::new(group[0].0.width());
-        for (_, local, removed) in group {
+        for (_, entry, removed) in group {
             if *removed == removals {
-                writer.push(local);
+                writer.push(entry);
             }
         }
         if writer.len() > 0 {
@@ -172,10 +185,10 @@
 fn decode_records(bytes: &[u8]) -> Result<Vec<BlockEntry>, DecodeError> {
     let mut entries = Vec::new();
     for record in RecordReader::new(bytes) {
-        let (slot, locals) = record?;
-        entries.extend(locals.iter().map(|local| BlockEntry {
-            prefix: prefix_of(slot, local),
-            site: SiteId(local.site),
+        let (page_key, page_entries) = record?;
+        entries.extend(page_entries.iter().map(|entry| BlockEntry {
+            prefix: prefix_of(page_key, entry),
+            site: SiteId(entry.site),
         }));
     }
     Ok(entries)
--- a/crates/filbertgrade-blocks/src/lib.rs
+++ b/crates/filbertgrade-blocks/src/lib.rs
@@ -1,11 +1,12 @@
-//! A table from blocks of client IP addresses to sites, sized for millions of blocks.
+//! A table from blocks of client IP addresses to sites, designed for millions of blocks.
 //!
-//! - [`BlockTable`] answers longest prefix look-ups.
+//! - [`BlockTable`] finds the site of an address by longest prefix match.
 //! - [`BlockDelta`] turns one version into the next.
-//! - [`SharedBlockTable`] lets look-ups read while a newer table replaces the present one.
-//! - [`EncodedTable`] is a whole copy as a [`Manifest`] and chunks named by their SHA-256.
+//! - [`SharedBlockTable`] replaces the current table while look-ups read it.
+//! - [`EncodedTable`] is a whole copy of a table: a [`Manifest`] and chunks identified by their
+//!   SHA-256.
 //! - [`FetchPlan`] decides what a new VM fetches from which peer within a byte budget, and
-//!   [`PartialTable`] answers look-ups from the chunks that have arrived.
+//!   [`PartialTable`] serves look-ups from the chunks received so far.
 //!
 //! ```
 //! use filbertgrade_blocks::{BlockEntry, BlockTable, SiteId, Version};
@@ -36,7 +37,7 @@
 pub use crate::delta::BlockDelta;
 pub use crate::entry::{BlockEntry, SiteId};
 pub use crate::error::{BuildError, DecodeError, DeltaError};
-pub use crate::fetch::{FetchConfig, FetchPlan, FetchStep, PeerId, PieceRequest, Received};
-pub use crate::partial::{Answer, DefaultCause, DefaultOrder, Lookup, PartialTable};
+pub use crate::fetch::{FetchConfig, FetchPlan, FetchStep, PeerId, PieceRequest, ReceiveOutcome};
+pub use crate::partial::{DefaultCause, DefaultOrder, LookupResult, PartialTable, SiteSelection};
 pub use crate::shared::SharedBlockTable;
 pub use crate::table::{BlockTable, Version};
--- a/crates/filbertgrade-blocks/src/partial.rs
+++ b/crates/filbertgrade-blocks/src/partial.rs
@@ -1,76 +1,77 @@
-//! A table of which only some chunks have arrived, and what look-ups answer meanwhile.
+//! A table of which only some chunks have been received, and the results of look-ups in it.
 
 use std::net::IpAddr;
 
 use crate::chunk::Manifest;
-use crate::entry::{Local, SiteId, Slot};
-use crate::error::{DecodeError, DecodeKind};
+use crate::entry::{PageEntry, PageKey, SiteId};
+use crate::error::{DecodeError, DecodeErrorKind};
 use crate::page::Page;
 use crate::table::{BlockTable, page_of};
 
-/// The result of a look-up in a table that may be partial.
+/// The result of a look-up in a table that may be partly loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lookup {
+pub enum LookupResult {
     /// The site of the longest matching prefix.
     Site(SiteId),
-    /// The table is known here and no prefix covers the address.
+    /// All chunks that could cover the address are loaded, and no prefix covers it.
     NoBlock,
-    /// The chunk that decides this address has not arrived.
+    /// A chunk that may hold the longest matching prefix is not loaded yet.
     NotLoaded,
 }
 
-/// Converts the result of a look-up in a whole table.
-impl From<Option<SiteId>> for Lookup {
-    fn from(site: Option<SiteId>) -> Lookup {
-        site.map_or(Lookup::NoBlock, Lookup::Site)
+/// Converts the result of a look-up in a whole table, so that it is never `NotLoaded`.
+impl From<Option<SiteId>> for LookupResult {
+    fn from(site: Option<SiteId>) -> LookupResult {
+        site.map_or(LookupResult::NoBlock, LookupResult::Site)
     }
 }
 
-/// Why an answer is the default order.
+/// Why the default order of sites was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultCause {
     /// No prefix covers the address.
     NoBlock,
-    /// The part of the table that decides this address has not arrived.
+    /// A chunk that may hold the longest matching prefix is not loaded yet.
     NotLoaded,
 }
 
-/// What a look-up answers to a caller.
+/// The site or sites that a caller should use for an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer<'a> {
-    /// The site of the block that holds the address.
+pub enum SiteSelection<'a> {
+    /// The site of the longest matching prefix.
     Site(SiteId),
-    /// The configured order of sites, most preferred first.
+    /// The configured default, because the table has no site for the address.
     Default {
-        /// The order. May be empty if none is configured.
+        /// The sites, most preferred first. Empty if no order is configured.
         order: &'a [SiteId],
-        /// Why no site of a block is given.
+        /// Why the table has no site for the address.
         cause: DefaultCause,
     },
 }
 
-/// The configured order of sites for addresses that no loaded block covers.
+/// The configured order of sites for addresses without a site in the loaded part of the table, most
+/// preferred first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DefaultOrder(pub Vec<SiteId>);
 
 impl DefaultOrder {
-    /// Turns the result of a look-up into an answer.
-    pub fn answer(&self, lookup: Lookup) -> Answer<'_> {
+    /// Returns the site that the look-up found, or else the default order with the cause.
+    pub fn select(&self, lookup: LookupResult) -> SiteSelection<'_> {
         let cause = match lookup {
-            Lookup::Site(site) => return Answer::Site(site),
-            Lookup::NoBlock => DefaultCause::NoBlock,
-            Lookup::NotLoaded => DefaultCause::NotLoaded,
+            LookupResult::Site(site) => return SiteSelection::Site(site),
+            LookupResult::NoBlock => DefaultCause::NoBlock,
+            LookupResult::NotLoaded => DefaultCause::NotLoaded,
         };
-        Answer::Default {
+        SiteSelection::Default {
             order: &self.0,
             cause,
         }
     }
 }
 
-/// The chunks of one manifest that have arrived so far.
+/// The table built from those chunks of one manifest that have been received so far.
 ///
-/// Cloning shares the pages, so a reader can be handed a clone after each chunk.
+/// Clones share their pages, so giving readers a new clone after each chunk is cheap.
 #[derive(Clone, Debug)]
 pub struct PartialTable {
     manifest: Manifest,
@@ -80,7 +81,7 @@
 }
 
 impl PartialTable {
-    /// Starts without any chunk.
+    /// Creates a table without any loaded chunk.
     pub fn new(manifest: Manifest) -> PartialTable {
         let loaded = vec![false; manifest.chunks().len()];
         let table = BlockTable::empty(manifest.version());
@@ -91,11 +92,12 @@
         }
     }
 
-    /// Adds the chunk at `index` of the manifest. A chunk that is already present is ignored.
+    /// Loads the chunk at `index` of the manifest. A chunk that is already loaded is ignored.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not those of the chunk; the table then stays as it was.
+    /// Fails if the bytes do not match the chunk's digest or are not a valid encoding; the table is
+    /// then unchanged.
     ///
     /// # Panics
     ///
@@ -105,41 +107,41 @@
             return Ok(());
         }
         let mut pages = Vec::new();
-        for (slot, locals) in self.manifest.chunks()[index].decode(bytes)? {
-            let locals = match self.table.page(slot) {
-                Some(page) => join_parts(page, locals)?,
-                None => locals,
+        for (page_key, entries) in self.manifest.chunks()[index].decode(bytes)? {
+            let entries = match self.table.page(page_key) {
+                Some(page) => merge_page_parts(page, entries)?,
+                None => entries,
             };
-            pages.push((slot, Page::new(slot.width(), &locals)));
+            pages.push((page_key, Page::new(page_key.width(), &entries)));
         }
         self.table.replace_pages(pages);
         self.loaded[index] = true;
         Ok(())
     }
 
-    /// Looks up an address in what has arrived.
-    pub fn lookup(&self, addr: IpAddr) -> Lookup {
-        let (slot, _) = page_of(addr);
-        if !self.has(slot) {
-            return Lookup::NotLoaded;
+    /// Looks up an address in the loaded chunks.
+    pub fn lookup(&self, addr: IpAddr) -> LookupResult {
+        let (page_key, _) = page_of(addr);
+        if !self.is_page_loaded(page_key) {
+            return LookupResult::NotLoaded;
         }
-        // Prefixes in the address's own page are longer than all others, so a match there
-        // holds whether or not the shorter prefixes have arrived.
-        if let Some(site) = self.table.lookup_narrow(addr) {
-            return Lookup::Site(site);
+        // Prefixes in the address's own page are longer than all others, so a match there is final
+        // whether or not the page of short prefixes is loaded.
+        if let Some(site) = self.table.lookup_own_page(addr) {
+            return LookupResult::Site(site);
         }
-        let wide = if addr.is_ipv4() {
-            Slot::Wide4
+        let short_prefixes = if addr.is_ipv4() {
+            PageKey::ShortV4
         } else {
-            Slot::Wide6
+            PageKey::ShortV6
         };
-        if !self.has(wide) {
-            return Lookup::NotLoaded;
+        if !self.is_page_loaded(short_prefixes) {
+            return LookupResult::NotLoaded;
         }
         self.table.lookup(addr).into()
     }
 
-    /// Returns the number of chunks that have arrived, and of all chunks.
+    /// Returns the number of loaded chunks and the number of all chunks.
     pub fn progress(&self) -> (usize, usize) {
         (
             self.loaded.iter().filter(|&&loaded| loaded).count(),
@@ -147,36 +149,41 @@
         )
     }
 
-    /// Returns the whole table once every chunk has arrived, or else gives the partial one back.
+    /// Returns the whole table if every chunk is loaded, and otherwise the partial table unchanged.
     ///
     /// # Errors
     ///
-    /// Fails if the chunks do not hold the number of entries that the manifest states.
+    /// Fails if the number of entries in the chunks differs from the one in the manifest.
     pub fn finish(self) -> Result<Result<BlockTable, PartialTable>, DecodeError> {
         if self.loaded.contains(&false) {
             return Ok(Err(self));
         }
         let (expected, found) = (self.manifest.entry_count(), self.table.entry_count());
         if expected != found {
-            return Err(DecodeKind::Count { expected, found }.into());
+            return Err(DecodeErrorKind::EntryCount { expected, found }.into());
         }
         Ok(Ok(self.table))
     }
 
-    fn has(&self, slot: Slot) -> bool {
-        self.loaded[self.manifest.chunks_of(slot)]
+    /// Reports whether all chunks that cover the page are loaded.
+    fn is_page_loaded(&self, page_key: PageKey) -> bool {
+        self.loaded[self.manifest.chunks_of_page(page_key)]
             .iter()
             .all(|&loaded| loaded)
     }
 }
 
-/// Joins the parts of a page that spans several chunks, which may arrive in any order.
-fn join_parts(page: &Page, locals: Vec<Local>) -> Result<Vec<Local>, DecodeError> {
-    let mut joined = locals;
-    joined.extend(page.locals());
-    joined.sort_unstable_by_key(Local::key);
-    if joined.windows(2).any(|pair| pair[0].key() == pair[1].key()) {
-        return Err(DecodeKind::Order.into());
+/// Adds the entries of one chunk to a page that spans several chunks. Chunks may arrive in any
+/// order.
+fn merge_page_parts(page: &Page, entries: Vec<PageEntry>) -> Result<Vec<PageEntry>, DecodeError> {
+    let mut merged = entries;
+    merged.extend(page.entries());
+    merged.sort_unstable_by_key(PageEntry::sort_key);
+    if merged
+        .windows(2)
+        .any(|pair| pair[0].sort_key() == pair[1].sort_key())
+    {
+        return Err(DecodeErrorKind::NotAscending.into());
     }
-    Ok(joined)
+    Ok(merged)
 }
--- a/crates/filbertgrade-blocks/src/shared.rs
+++ b/crates/filbertgrade-blocks/src/shared.rs
@@ -1,4 +1,4 @@
-//! The table that look-ups read while newer ones replace it.
+//! A table that can be replaced while look-ups read it.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -7,60 +7,61 @@
 
 use crate::delta::BlockDelta;
 use crate::entry::SiteId;
-use crate::error::{DeltaError, DeltaKind};
+use crate::error::{DeltaError, DeltaErrorKind};
 use crate::table::BlockTable;
 
-/// Holds the present table. Readers take no lock; a newer table replaces it as a whole.
+/// Holds the current table. Readers take no lock, and a newer table replaces the current one
+/// atomically.
 #[derive(Debug)]
 pub struct SharedBlockTable {
-    present: ArcSwap<BlockTable>,
+    current: ArcSwap<BlockTable>,
 }
 
 impl SharedBlockTable {
-    /// Starts with the given table.
+    /// Makes `table` the current table.
     pub fn new(table: BlockTable) -> SharedBlockTable {
         SharedBlockTable {
-            present: ArcSwap::from_pointee(table),
+            current: ArcSwap::from_pointee(table),
         }
     }
 
-    /// Returns the present table. Several look-ups through one guard see one version.
+    /// Returns the current table. All look-ups through the returned guard use the same version.
     pub fn load(&self) -> Guard<Arc<BlockTable>> {
-        self.present.load()
+        self.current.load()
     }
 
-    /// Looks up one address in the present table.
+    /// Looks up one address in the current table.
     #[inline]
     pub fn lookup(&self, addr: IpAddr) -> Option<SiteId> {
-        self.present.load().lookup(addr)
+        self.current.load().lookup(addr)
     }
 
-    /// Replaces the table with a newer one and returns the replaced one, so that the caller
-    /// decides which thread frees it.
+    /// Replaces the table with a newer one. Returns the replaced table, so that the caller decides
+    /// which thread frees its memory.
     ///
     /// # Errors
     ///
-    /// Fails if the present version is not lower than the new one.
+    /// Fails if the version of `table` is not higher than the current one.
     pub fn publish(&self, table: &Arc<BlockTable>) -> Result<Arc<BlockTable>, DeltaError> {
         loop {
-            let present = self.present.load_full();
-            if table.version() <= present.version() {
-                let (base, new) = (present.version(), table.version());
-                return Err(DeltaKind::Backward { base, new }.into());
+            let current = self.current.load_full();
+            if table.version() <= current.version() {
+                let (base, new) = (current.version(), table.version());
+                return Err(DeltaErrorKind::NotNewer { base, new }.into());
             }
-            let seen = self.present.compare_and_swap(&present, Arc::clone(table));
-            if Arc::ptr_eq(&seen, &present) {
-                return Ok(present);
+            let previous = self.current.compare_and_swap(&current, Arc::clone(table));
+            if Arc::ptr_eq(&previous, &current) {
+                return Ok(current);
             }
         }
     }
 
-    /// Applies a delta to the present table and publishes the result.
+    /// Applies a delta to the current table and publishes the result. Returns the replaced table.
     ///
     /// # Errors
     ///
-    /// Fails as [`BlockTable::apply`] and [`SharedBlockTable::publish`] do; the present table
-    /// then stays.
+    /// Fails like [`BlockTable::apply`] and [`SharedBlockTable::publish`]; the current table then
+    /// stays in place.
     pub fn apply(&self, delta: &BlockDelta) -> Result<Arc<BlockTable>, DeltaError> {
         let table = self.load().apply(delta)?;
         self.publish(&Arc::new(table))
--- a/crates/filbertgrade-blocks/tests/cases.rs
+++ b/crates/filbertgrade-blocks/tests/cases.rs
@@ -1,5 +1,8 @@
-//! Runs the case files in `tests/cases`: `block PREFIX SITE`, `lookup ADDRESS SITE|none`, and
-//! `refuse PREFIX SITE`, an entry that must not build beside the blocks of its file.
+//! Runs the case files in `tests/cases`. Each line is one of:
+//!
+//! - `block PREFIX SITE`: an entry of the table.
+//! - `lookup ADDRESS SITE|none`: the expected result of a look-up in the table of all blocks.
+//! - `refuse PREFIX SITE`: an entry that must make the build fail if added to the blocks.
 
 use std::fs;
 use std::path::PathBuf;
@@ -15,9 +18,9 @@
     }
 }
 
-// Guards against wrong edges of ranges, and against entries that should be refused.
+// Guards against ranges with wrong bounds, and against invalid entries being accepted.
 #[rstest]
-fn case_file(#[files("tests/cases/*.txt")] path: PathBuf) {
+fn case_file_gives_expected_results(#[files("tests/cases/*.txt")] path: PathBuf) {
     let text = fs::read_to_string(&path).unwrap();
     let lines: Vec<Vec<&str>> = text
         .lines()
--- a/crates/filbertgrade-blocks/tests/copy.rs
+++ b/crates/filbertgrade-blocks/tests/copy.rs
@@ -1,4 +1,4 @@
-//! Encoded copies, corrupt input, fetching and shared tables.
+//! Tests of encoded copies, corrupt input, fetching and shared tables.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 use std::sync::Arc;
@@ -6,16 +6,17 @@
 use std::time::Duration;
 
 use filbertgrade_blocks::{
-    Answer, BlockDelta, BlockEntry, BlockTable, ChunkId, DefaultCause, DefaultOrder, EncodedTable,
-    FetchConfig, FetchPlan, FetchStep, Lookup, MAX_CHUNK_BYTES, Manifest, PartialTable, PeerId,
-    Received, SharedBlockTable, SiteId, Version,
+    BlockDelta, BlockEntry, BlockTable, ChunkId, DefaultCause, DefaultOrder, EncodedTable,
+    FetchConfig, FetchPlan, FetchStep, LookupResult, MAX_CHUNK_BYTES, Manifest, PartialTable,
+    PeerId, ReceiveOutcome, SharedBlockTable, SiteId, SiteSelection, Version,
 };
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use proptest::prelude::{any, proptest};
 use proptest::{prop_assert, prop_assert_eq};
 use rstest::rstest;
 
-/// Enough /24 to fill several chunks, and one IPv6 /32 whose page spans several chunks.
+/// Returns enough /24 blocks to fill several chunks, one IPv6 /32 with a page that spans several
+/// chunks, and two short prefixes.
 fn entries() -> Vec<BlockEntry> {
     let v4 = (0..60_000u32).map(|n| {
         let prefix = Ipv4Net::new_assert(Ipv4Addr::from_bits((n * 5 + 7) << 8), 24).into();
@@ -40,10 +41,12 @@
     v4.chain(v6).chain(short).collect()
 }
 
+/// The table of all [`entries`].
 fn table() -> BlockTable {
     BlockTable::build(Version(5), &entries()).expect("valid entries")
 }
 
+/// Returns an IPv4 address for an even seed and an IPv6 address for an odd one.
 fn probe(seed: u32) -> IpAddr {
     let mixed = seed.wrapping_mul(2_654_435_761);
     if seed.is_multiple_of(2) {
@@ -53,7 +56,8 @@
     }
 }
 
-/// Inserts chunks in the given order and checks every look-up on the way.
+/// Loads chunks in the given order. Before each one, checks that look-ups in the partial table give
+/// either the result of the whole table or `NotLoaded`.
 fn assemble(encoded: &EncodedTable, order: impl Iterator<Item = usize>) -> BlockTable {
     let whole = table();
     let mut partial = PartialTable::new(encoded.manifest.clone());
@@ -61,9 +65,9 @@
         for seed in 0..200 {
             let addr = probe(seed * 31 + step as u32);
             match partial.lookup(addr) {
-                Lookup::NotLoaded => {}
-                known => {
-                    assert_eq!(known, Lookup::from(whole.lookup(addr)));
+                LookupResult::NotLoaded => {}
+                result => {
+                    assert_eq!(result, LookupResult::from(whole.lookup(addr)));
                 }
             }
         }
@@ -73,16 +77,16 @@
     }
     partial
         .finish()
-        .expect("a matching count")
-        .expect("every chunk")
+        .expect("the entry count matches")
+        .expect("every chunk is loaded")
 }
 
-// Guards against a copy that differs from its source, and against a wrong answer while only
-// part of it has arrived, in any order of chunks.
+// Guards against a copy that differs from the original table, and against wrong results of look-ups
+// while only some chunks are loaded, in either order of chunks.
 #[rstest]
 #[case::forward(false)]
 #[case::backward(true)]
-fn copy_equals_source(#[case] backward: bool) {
+fn copy_equals_original_table(#[case] backward: bool) {
     let encoded = table().encode();
     let count = encoded.chunks.len();
     assert!(count >= 5, "{count} chunks");
@@ -101,20 +105,21 @@
     assert_eq!(copy.encode().manifest, encoded.manifest);
 }
 
-// Guards against an empty table that cannot be copied.
+// Guards against an empty table that cannot be encoded or loaded.
 #[test]
 fn empty_table_can_be_copied() {
     let encoded = BlockTable::empty(Version(1)).encode();
     let mut partial = PartialTable::new(encoded.manifest.clone());
-    assert_eq!(partial.lookup(probe(0)), Lookup::NotLoaded);
+    assert_eq!(partial.lookup(probe(0)), LookupResult::NotLoaded);
     partial.insert(0, encoded.chunks[0].as_ref()).unwrap();
-    assert_eq!(partial.lookup(probe(0)), Lookup::NoBlock);
+    assert_eq!(partial.lookup(probe(0)), LookupResult::NoBlock);
     assert_eq!(partial.finish().unwrap().unwrap().entry_count(), 0);
 }
 
-// Guards against a small change that renames most chunks.
+// Guards against a small change to the table that changes the identifiers of most chunks, which
+// would have to be fetched again.
 #[test]
-fn small_change_keeps_most_chunks() {
+fn small_change_changes_one_chunk() {
     let before = table();
     let set = vec![BlockEntry {
         prefix: "0.0.9.0/26".parse().unwrap(),
@@ -132,31 +137,32 @@
     assert_eq!(changed, 1);
 }
 
-// Guards against a default answer that hides why it was given.
+// Guards against a default order that is returned with the wrong cause.
 #[test]
-fn answers_show_why_the_default_is_used() {
+fn default_order_comes_with_its_cause() {
     let order = DefaultOrder(vec![SiteId(4), SiteId(2)]);
-    let default = |cause| Answer::Default {
+    let default = |cause| SiteSelection::Default {
         order: &[SiteId(4), SiteId(2)],
         cause,
     };
     assert_eq!(
-        order.answer(Lookup::Site(SiteId(1))),
-        Answer::Site(SiteId(1))
+        order.select(LookupResult::Site(SiteId(1))),
+        SiteSelection::Site(SiteId(1))
     );
     assert_eq!(
-        order.answer(Lookup::NoBlock),
+        order.select(LookupResult::NoBlock),
         default(DefaultCause::NoBlock)
     );
     assert_eq!(
-        order.answer(Lookup::NotLoaded),
+        order.select(LookupResult::NotLoaded),
         default(DefaultCause::NotLoaded)
     );
 }
 
-// Guards against a delta that changes in transit, also when it needs several parts.
+// Guards against a delta that is changed by encoding and decoding, also in several parts, and
+// against missing, duplicated or no parts being accepted.
 #[test]
-fn delta_survives_encoding() {
+fn delta_is_unchanged_by_encoding_and_decoding() {
     let mut set = entries();
     set.truncate(50_000);
     let removed = entries()[70_000..75_000]
@@ -179,9 +185,10 @@
     assert!(BlockDelta::decode::<&[u8]>(&[]).is_err());
 }
 
-// Guards against a delta on the wrong version, a move backward, and unclear errors.
+// Guards against applying a delta to the wrong version, moving to a version that is not higher, and
+// errors without the invalid prefix.
 #[test]
-fn delta_is_checked() {
+fn delta_is_validated_before_it_is_applied() {
     let table = table();
     let delta = |base, version| BlockDelta {
         base: Version(base),
@@ -190,8 +197,8 @@
         removed: Vec::new(),
     };
     assert!(table.apply(&delta(4, 6)).unwrap_err().is_base_mismatch());
-    assert!(table.apply(&delta(5, 5)).unwrap_err().is_backward());
-    assert!(table.apply(&delta(5, 4)).unwrap_err().is_backward());
+    assert!(table.apply(&delta(5, 5)).unwrap_err().is_not_newer());
+    assert!(table.apply(&delta(5, 4)).unwrap_err().is_not_newer());
     let absent: IpNet = "9.9.9.9/32".parse().unwrap();
     let missing = BlockDelta {
         removed: vec![absent],
@@ -207,19 +214,19 @@
     let shared = SharedBlockTable::new(table);
     shared.apply(&delta(5, 7)).unwrap();
     let older = Arc::new(BlockTable::empty(Version(6)));
-    assert!(shared.publish(&older).unwrap_err().is_backward());
+    assert!(shared.publish(&older).unwrap_err().is_not_newer());
     assert_eq!(shared.load().version(), Version(7));
 }
 
 proptest! {
-    // Guards against a panic or unbounded memory on corrupt input, and against corrupt input
-    // that is accepted.
+    // Guards against a panic or unbounded memory use on corrupt input, and against corrupt input
+    // being accepted.
     #[test]
-    fn corrupt_input_is_refused(position in any::<usize>(), bit in 0u8..8, cut in any::<usize>()) {
+    fn corrupt_input_is_rejected(position in any::<usize>(), bit in 0u8..8, cut in any::<usize>()) {
         let small: Vec<BlockEntry> = entries().into_iter().step_by(997).collect();
         let encoded = BlockTable::build(Version(5), &small).unwrap().encode();
         let delta = BlockDelta { base: Version(1), version: Version(2), set: small, removed: vec![] };
-        let damage = |bytes: &[u8], truncate: bool| {
+        let corrupt = |bytes: &[u8], truncate: bool| {
             let mut bytes = bytes.to_vec();
             let position = position % bytes.len();
             bytes[position] ^= 1 << bit;
@@ -229,27 +236,28 @@
             bytes
         };
         for truncate in [false, true] {
-            let part = damage(delta.encode().unwrap()[0].as_ref(), truncate);
+            let part = corrupt(delta.encode().unwrap()[0].as_ref(), truncate);
             prop_assert!(BlockDelta::decode(&[part]).is_err());
-            prop_assert!(Manifest::decode(&damage(&encoded.manifest.encode(), truncate)).is_err());
+            prop_assert!(Manifest::decode(&corrupt(&encoded.manifest.encode(), truncate)).is_err());
             let mut partial = PartialTable::new(encoded.manifest.clone());
-            let err = partial.insert(0, &damage(encoded.chunks[0].as_ref(), truncate)).unwrap_err();
+            let err = partial.insert(0, &corrupt(encoded.chunks[0].as_ref(), truncate)).unwrap_err();
             prop_assert!(err.is_digest_mismatch());
-            prop_assert!(partial.lookup(probe(0)) == Lookup::NotLoaded);
+            prop_assert!(partial.lookup(probe(0)) == LookupResult::NotLoaded);
         }
     }
 
-    // Guards against a panic on content whose digest is right but which no encoder wrote.
+    // Guards against a panic on a delta or manifest that has a correct digest but arbitrary
+    // content.
     #[test]
-    fn sealed_garbage_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_content_with_valid_digest_does_not_panic(body in proptest::collection::vec(any::<u8>(), 0..200)) {
         for magic in ["FBD1", "FBM1"] {
             let mut bytes = magic.as_bytes().to_vec();
             bytes.extend_from_slice(&body);
             let digest = ChunkId::of(&bytes);
             bytes.extend_from_slice(&digest.0);
             if let Ok(delta) = BlockDelta::decode(&[&bytes]) {
-                let decoded_again = BlockDelta { version: Version(u64::MAX), ..delta };
-                drop(BlockTable::empty(decoded_again.base).apply(&decoded_again));
+                let newer = BlockDelta { version: Version(u64::MAX), ..delta };
+                drop(BlockTable::empty(newer.base).apply(&newer));
             }
             if let Ok(manifest) = Manifest::decode(&bytes) {
                 PartialTable::new(manifest).lookup(probe(1));
@@ -257,9 +265,9 @@
         }
     }
 
-    // Guards against a panic on a chunk that its manifest names but which no encoder wrote.
+    // Guards against a panic on a chunk that matches its manifest but has arbitrary content.
     #[test]
-    fn named_garbage_does_not_panic(records in proptest::collection::vec(
+    fn arbitrary_chunk_listed_in_manifest_does_not_panic(records in proptest::collection::vec(
         (0u8..4, proptest::collection::vec(any::<u8>(), 0..12)), 0..8,
     )) {
         let mut chunk = b"FBT1".to_vec();
@@ -268,7 +276,8 @@
             chunk.extend_from_slice(entries);
         }
         let mut manifest = b"FBM1".to_vec();
-        // Version 1, no entries, one span over all slots: 2 + 2^16 + 2^32, less one.
+        // Version 1, no entries, and one span that starts at 0 and ends 2 + 2^16 + 2^32 - 1 later,
+        // which is the ordinal of the last page.
         manifest.extend_from_slice(&[1, 0, 0, 0x81, 0x80, 0x84, 0x80, 0x10]);
         assert!(chunk.len() < 0x80, "the length must fit a varint of one byte");
         manifest.push(chunk.len() as u8);
@@ -278,7 +287,7 @@
         let mut partial = PartialTable::new(manifest);
         if partial.insert(0, &chunk).is_ok() {
             for seed in 0..20 {
-                prop_assert!(partial.lookup(probe(seed)) != Lookup::NotLoaded);
+                prop_assert!(partial.lookup(probe(seed)) != LookupResult::NotLoaded);
             }
             let is_empty = records.iter().all(|(_, entries)| entries.is_empty());
             prop_assert_eq!(partial.finish().is_ok(), is_empty);
@@ -286,9 +295,9 @@
     }
 }
 
-// Guards against input that is read in full before its length is checked.
+// Guards against input of excessive length being processed before its length is checked.
 #[test]
-fn overlong_input_is_refused() {
+fn too_long_input_is_rejected() {
     let long = vec![0; MAX_CHUNK_BYTES + 1];
     assert!(BlockDelta::decode(&[&long]).unwrap_err().is_too_long());
     assert!(Manifest::decode(&long).unwrap_err().is_too_long());
@@ -296,28 +305,32 @@
     assert!(partial.insert(0, &long).unwrap_err().is_too_long());
 }
 
-/// How the peers of a simulated fetch behave.
+/// Fault of peer 1 in a simulated fetch. It starts after 5 s.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// Peer 1 is removed in the middle.
+    /// Peer 1 is removed.
     Removed,
-    /// Peer 1 stops answering in the middle.
-    Silent,
+    /// Peer 1 stops responding.
+    Unresponsive,
     /// Peer 1 flips a bit in every piece.
     Corrupt,
-    /// Peer 1 sends pieces that are too short.
+    /// Peer 1 sends pieces that are one byte too short.
     Short,
 }
 
-// Guards against a fetch that exceeds its budget, stalls, or starts over when a peer fails.
+// Guards against a fetch that exceeds its byte budget, never finishes, or discards too many
+// received bytes when a peer fails.
 #[rstest]
 #[case::no_fault(Fault::None, 0.02)]
 #[case::peer_removed(Fault::Removed, 0.05)]
-#[case::peer_silent(Fault::Silent, 0.05)]
+#[case::peer_unresponsive(Fault::Unresponsive, 0.05)]
 #[case::peer_corrupt(Fault::Corrupt, 0.60)]
 #[case::peer_short(Fault::Short, 0.05)]
-fn fetch_keeps_its_budget_and_finishes(#[case] fault: Fault, #[case] allowed_extra: f64) {
+fn fetch_finishes_within_its_budget_when_a_peer_fails(
+    #[case] fault: Fault,
+    #[case] allowed_extra: f64,
+) {
     let encoded = table().encode();
     let total = encoded.manifest.total_bytes();
     let config = FetchConfig::default();
@@ -336,12 +349,12 @@
         let request = match plan.next(now) {
             FetchStep::Request(request) => request,
             FetchStep::Wait { until } => {
-                assert!(until > now, "waiting must advance the clock");
+                assert!(until > now, "the end of a wait must be in the future");
                 now = until;
                 continue;
             }
             FetchStep::Done => break,
-            FetchStep::NoPeers => panic!("peers 2 and 3 can be asked"),
+            FetchStep::NoPeers => panic!("peers 2 and 3 are usable"),
         };
         spent += u64::from(request.len) + overhead;
         assert!(spent as f64 <= rate * now.as_secs_f64() + piece_cost as f64 + 1.0);
@@ -349,7 +362,7 @@
         if faulty && fault == Fault::Removed {
             plan.remove_peer(PeerId(1));
         }
-        if faulty && matches!(fault, Fault::Removed | Fault::Silent) {
+        if faulty && matches!(fault, Fault::Removed | Fault::Unresponsive) {
             continue;
         }
         let start = request.offset as usize;
@@ -361,12 +374,12 @@
         if faulty && fault == Fault::Short {
             bytes.pop();
         }
-        match plan.received(request.peer, request.index, request.offset, &bytes) {
-            Received::Chunk { index, bytes } => partial.insert(index, &bytes).unwrap(),
-            Received::Stored => {}
-            Received::Corrupt => assert!(fault == Fault::Corrupt),
-            Received::WrongLength => assert!(fault == Fault::Short),
-            Received::Unexpected => panic!("every reply answers an open request"),
+        match plan.receive(request.peer, request.index, request.offset, &bytes) {
+            ReceiveOutcome::Chunk { index, bytes } => partial.insert(index, &bytes).unwrap(),
+            ReceiveOutcome::Stored => {}
+            ReceiveOutcome::Corrupt => assert!(fault == Fault::Corrupt),
+            ReceiveOutcome::WrongLength => assert!(fault == Fault::Short),
+            ReceiveOutcome::Unexpected => panic!("every response matches an outstanding request"),
         }
     }
     assert_eq!(plan.next(now), FetchStep::Done);
@@ -380,14 +393,18 @@
             .eq(table().entries())
     );
     let pieces = total.div_ceil(u64::from(FetchConfig::default().piece_bytes));
-    let ideal = (total + pieces * overhead) as f64;
-    let extra = spent as f64 / ideal - 1.0;
-    assert!(extra <= allowed_extra, "spent {extra:.3} more than needed");
+    let needed = (total + pieces * overhead) as f64;
+    let extra = spent as f64 / needed - 1.0;
+    assert!(
+        extra <= allowed_extra,
+        "requested {extra:.3} more than needed, as a fraction"
+    );
 }
 
-// Guards against a needed chunk that waits behind the others, and a late reply that is stored.
+// Guards against a prioritized chunk that is fetched after the others, and against a response that
+// is stored after its request timed out.
 #[test]
-fn preferred_chunk_comes_first() {
+fn prioritized_chunk_comes_first() {
     let encoded = table().encode();
     let mut plan = FetchPlan::new(&encoded.manifest, FetchConfig::default());
     plan.add_peer(PeerId(1));
@@ -396,23 +413,24 @@
         .chunks_for("2001:db8::".parse().unwrap())
         .start();
     assert!(wanted > 0);
-    plan.prefer(wanted);
+    plan.prioritize(wanted);
     let FetchStep::Request(request) = plan.next(Duration::ZERO) else {
         panic!("no request")
     };
     assert_eq!((request.index, request.offset), (wanted, 0));
     let late = Duration::from_secs(60);
     let FetchStep::Wait { .. } = plan.next(late) else {
-        panic!("the only peer is paused")
+        panic!("the only peer is in backoff")
     };
     let piece = &encoded.chunks[wanted].as_ref()[..request.len as usize];
-    let received = plan.received(PeerId(1), request.index, request.offset, piece);
-    assert_eq!(received, Received::Unexpected);
+    let received = plan.receive(PeerId(1), request.index, request.offset, piece);
+    assert_eq!(received, ReceiveOutcome::Unexpected);
 }
 
-// Guards against a look-up that sees a mix of two versions while tables are swapped.
+// Guards against a reader that sees a mix of two versions, or an older version after a newer one,
+// while tables are replaced.
 #[test]
-fn readers_see_one_version() {
+fn readers_see_one_version_at_a_time() {
     let site = |version: u64| SiteId((version % 700) as u16);
     let prefixes: [IpNet; 2] = [
         "10.0.0.0/24".parse().unwrap(),
@@ -434,7 +452,7 @@
                 let mut newest = Version(0);
                 while !stop.load(Ordering::Relaxed) {
                     let table = shared.load();
-                    assert!(table.version() >= newest, "the version moved backward");
+                    assert!(table.version() >= newest, "the version decreased");
                     newest = table.version();
                     for prefix in prefixes {
                         assert_eq!(table.lookup(prefix.addr()), Some(site(newest.0)));
--- a/crates/filbertgrade-blocks/tests/table.rs
+++ b/crates/filbertgrade-blocks/tests/table.rs
@@ -1,4 +1,4 @@
-//! Look-ups and deltas compared to a linear longest prefix match.
+//! Compares look-ups with a linear longest prefix match, and deltas with a full rebuild.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -8,16 +8,18 @@
 use proptest::prelude::{Just, Strategy, any, prop_oneof, proptest};
 use proptest::{prop_assert, prop_assert_eq};
 
+/// The entries of a table in a plain map, from which expected results are computed.
 type Reference = BTreeMap<IpNet, SiteId>;
 
-fn linear(entries: &Reference, addr: IpAddr) -> Option<SiteId> {
+/// Finds the longest matching prefix by checking all entries.
+fn linear_lookup(entries: &Reference, addr: IpAddr) -> Option<SiteId> {
     let covering = entries.iter().filter(|(prefix, _)| prefix.contains(&addr));
     covering
         .max_by_key(|(prefix, _)| prefix.prefix_len())
         .map(|(_, &site)| site)
 }
 
-/// Few distinct bits, so that prefixes nest and share pages.
+/// Addresses with few distinct bits, so that prefixes nest and share pages.
 fn address() -> impl Strategy<Value = IpAddr> {
     let v4 = (0u32..4, 0u32..4, any::<u8>())
         .prop_map(|(a, b, c)| IpAddr::V4(Ipv4Addr::from_bits(a << 30 | b << 15 | u32::from(c))));
@@ -48,7 +50,8 @@
         .collect()
 }
 
-/// Random addresses, and the edges of every prefix and their neighbours.
+/// Returns the random addresses, and the first and last address of every prefix with the addresses
+/// before and after them.
 fn probes(entries: &Reference, random: &[IpAddr]) -> Vec<IpAddr> {
     let mut probes = random.to_vec();
     for prefix in entries.keys() {
@@ -69,24 +72,24 @@
 }
 
 proptest! {
-    // Guards against a range that is cut at the wrong address when prefixes nest.
+    // Guards against a range that starts or ends at the wrong address where prefixes nest.
     #[test]
-    fn lookup_equals_linear_match(
+    fn lookup_equals_linear_longest_prefix_match(
         entries in blocks(60),
         random in proptest::collection::vec(address(), 20),
     ) {
         let table = BlockTable::build(Version(1), &list(&entries)).unwrap();
         prop_assert_eq!(table.entry_count(), entries.len() as u64);
         for addr in probes(&entries, &random) {
-            prop_assert_eq!(table.lookup(addr), linear(&entries, addr), "{}", addr);
+            prop_assert_eq!(table.lookup(addr), linear_lookup(&entries, addr), "{}", addr);
         }
         let stored: Reference = table.entries().map(|e| (e.prefix, e.site)).collect();
         prop_assert_eq!(stored, entries);
     }
 
-    // Guards against a delta that leaves a page different from a rebuild of the whole.
+    // Guards against a table after a delta that differs from one built from all entries.
     #[test]
-    fn delta_equals_rebuild(before in blocks(50), after in blocks(50)) {
+    fn applying_delta_equals_rebuilding(before in blocks(50), after in blocks(50)) {
         let old = BlockTable::build(Version(1), &list(&before)).unwrap();
         let set = after.iter().filter(|(prefix, site)| before.get(prefix) != Some(site));
         let set = set.map(|(&prefix, &site)| BlockEntry { prefix, site }).collect();
