--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -19,7 +19,7 @@
 use crate::logfmt;
 use crate::platform::{Condition, PlatformError, Revision};
 use crate::version::{
-    InForce, SHARE_TABLE, STEERING, VmRecord, decode_share_table, encode_share_table,
+    InForce, SHARE_TABLE, STEERING_WEIGHTS, VmRecord, decode_share_table, encode_share_table,
 };
 use crate::wire::{Body, StatusRequest};
 
@@ -249,7 +249,10 @@
             if state.objects.revision() > self.view.revision {
                 self.view = InForce::build(&state.objects, &self.view);
             }
-            state.objects.get(STEERING).map(|entry| entry.revision)
+            state
+                .objects
+                .get(STEERING_WEIGHTS)
+                .map(|entry| entry.revision)
         };
         let now = Instant::now();
         let table = &self.view.steering;
@@ -279,7 +282,12 @@
         let Some(next) = next else { return };
         let condition = stored.map_or(Condition::Absent, Condition::At);
         let value = Bytes::from(next.encode());
-        match self.agent.platform.put(STEERING, value, condition).await {
+        match self
+            .agent
+            .platform
+            .put(STEERING_WEIGHTS, value, condition)
+            .await
+        {
             Ok(_) => log::info!(
                 "event=weights_published step={} token={}",
                 next.step,
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -66,7 +66,7 @@
     };
     let mut outgoing = lock(&agent.outgoing);
     Feed {
-        delta: outgoing.page(&state.objects, OWN_ENTRY, hello.revision, hello.resume, now),
+        delta: outgoing.next_page(&state.objects, OWN_ENTRY, hello.revision, hello.resume, now),
         valid_ms: valid.map(|valid| valid.as_millis().try_into().unwrap_or(u32::MAX)),
         revision: state.objects.revision(),
     }
@@ -116,10 +116,10 @@
     }
     let delta = if pull.one_page_only {
         OutgoingDeltas::default()
-            .page(&state.objects, &pull.vm, pull.revision, None, now)
+            .next_page(&state.objects, &pull.vm, pull.revision, None, now)
             .filter(|page| page.objects.len() as u64 == page.total)
     } else {
-        lock(&agent.outgoing).page(&state.objects, &pull.vm, pull.revision, pull.resume, now)
+        lock(&agent.outgoing).next_page(&state.objects, &pull.vm, pull.revision, pull.resume, now)
     };
     PullReply {
         delta,
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -85,7 +85,7 @@
         let pull = Pull {
             vm: agent.settings.vm.to_string(),
             revision: *agent.revision.borrow(),
-            resume: incoming.resume(),
+            resume: incoming.next_page_request(),
             region: agent.settings.region.to_string(),
             failure_domain: agent.settings.failure_domain.to_string(),
             newest_confirmation_only: !all_regions,
@@ -106,7 +106,7 @@
                 return;
             }
         }
-        if incoming.resume().is_none() {
+        if incoming.next_page_request().is_none() {
             return;
         }
         if transfer.is_none() {
@@ -154,7 +154,7 @@
     incoming: &mut IncomingDelta,
     page: Delta,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    if let Some(delta) = incoming.take(page)? {
+    if let Some(delta) = incoming.add_page(page)? {
         agent.advance(|objects| apply_delta(objects, delta))?;
     }
     Ok(())
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -31,7 +31,7 @@
         let sent = Instant::now();
         let hello = Hello {
             revision: objects.revision(),
-            resume: incoming.resume(),
+            resume: incoming.next_page_request(),
         };
         match link.call(Body::Hello(hello), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
@@ -54,7 +54,7 @@
     feed: Feed,
     sent: Instant,
 ) {
-    match feed.delta.map(|page| incoming.take(page)) {
+    match feed.delta.map(|page| incoming.add_page(page)) {
         Some(Ok(Some(delta))) => match crate::version::apply_delta(objects, delta) {
             Ok(ApplyOutcome::Advanced(names)) => put_in_force(entry, objects, &names),
             Ok(ApplyOutcome::Stale | ApplyOutcome::Gap { .. }) => {}
--- a/crates/filbertgrade/src/process/entry/lookup.rs
+++ b/crates/filbertgrade/src/process/entry/lookup.rs
@@ -5,7 +5,7 @@
 use filbertgrade_coord::names::VmName;
 use serde::Serialize;
 
-use crate::version::{InForce, VmRecord, client_hash, client_point};
+use crate::version::{InForce, VmRecord, client_hash, client_position};
 
 /// Most VMs named in one answer; callers try them in order.
 const MOST_VMS: usize = 4;
@@ -31,13 +31,13 @@
 /// own VM is left out while it is `leaving`.
 #[must_use]
 pub fn answer(view: &InForce, client: IpAddr, port: u16, leaving: Option<&VmName>) -> LookupAnswer {
-    let clients = view.clients.as_deref();
+    let clients = view.client_regions.as_deref();
     let region = clients.and_then(|clients| clients.region_of(client));
     let hash = client_hash(client) as usize;
     let mut vms: Vec<&VmRecord> = Vec::with_capacity(MOST_VMS);
     let mut regions = view
-        .routes
-        .vms_for(region, client_point(client))
+        .region_splits
+        .vms_for(region, client_position(client))
         .enumerate()
         .peekable();
     while let Some((n, (_, of_region))) = regions.next() {
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -273,7 +273,7 @@
     fn regions(&self, view: &InForce, ask: &SlotAsk) -> (RegionName, Vec<RegionName>) {
         let own = &self.shared.settings.region;
         let first = view
-            .routes
+            .region_splits
             .region_for(&ask.service, own, rand::random::<f64>());
         let mut regions = view.region_order(Some(first.unwrap_or(own)));
         regions.retain(|region| {
@@ -281,7 +281,7 @@
                 .any(|(endpoint, _)| !ask.avoid.contains(&endpoint))
         });
         let has_part = |region: &RegionName| {
-            Some(region) == first || view.routes.is_other_choice(&ask.service, region)
+            Some(region) == first || view.region_splits.accepts_spill(&ask.service, region)
         };
         if regions.iter().any(has_part) {
             regions.retain(has_part);
@@ -516,7 +516,7 @@
     /// The VM that holds a slot book: one of the region, if it has any.
     fn owner(&self, view: &InForce, id: &BookId) -> Option<VmName> {
         let key = format!("{}/{}", id.service, id.region);
-        let live = || view.vms.values().filter(|vm| view.takes_work(vm));
+        let live = || view.vms.values().filter(|vm| view.accepts_work(vm));
         let of_region = live()
             .filter(|vm| vm.region == id.region)
             .map(|vm| &vm.name);
--- a/crates/filbertgrade/src/version/clients.rs
+++ b/crates/filbertgrade/src/version/client_regions.rs
@@ -1,4 +1,4 @@
-//! Which region a client is closest to.
+//! Maps client addresses to the closest region.
 
 use std::net::IpAddr;
 
@@ -7,20 +7,20 @@
 
 use super::Config;
 
-/// The client blocks of one configuration version, for look-ups by address.
+/// Longest-prefix table of the client blocks of one configuration version.
 #[derive(Debug)]
-pub(crate) struct ClientTable {
+pub(crate) struct ClientRegionTable {
     blocks: BlockTable,
-    /// Regions by the site number that the table holds for them.
+    /// Regions, indexed by the site number that `blocks` returns.
     regions: Vec<RegionName>,
 }
 
-impl ClientTable {
-    /// Builds the table of a configuration.
+impl ClientRegionTable {
+    /// Builds the table from a configuration.
     ///
     /// # Errors
     ///
-    /// Fails on a repeated block or one with host bits. A checked
+    /// Fails if a block is repeated or has host bits set. A validated
     /// configuration has neither.
     pub(crate) fn build(version: u64, config: &Config) -> Result<Self, BuildError> {
         let regions: Vec<RegionName> = config.regions.keys().cloned().collect();
@@ -41,7 +41,8 @@
         })
     }
 
-    /// The region of the longest block that covers the client.
+    /// Returns the region of the longest block that contains the client, or
+    /// `None` if no block does.
     pub(crate) fn region_of(&self, client: IpAddr) -> Option<&RegionName> {
         let site = self.blocks.lookup(client.to_canonical())?;
         self.regions.get(usize::from(site.0))
--- a/crates/filbertgrade/src/version/config/fault.rs
+++ b/crates/filbertgrade/src/version/config/fault.rs
@@ -1,20 +1,21 @@
-//! Faults of configuration files.
+//! Faults found in configuration files.
 
 use std::fmt;
 
-/// One fault of a configuration file.
+/// One fault found in a configuration file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// File that the fault is in.
+    /// Name of the file that the fault is in, as given in
+    /// [`ConfigFile::name`](super::ConfigFile::name).
     pub file: String,
-    /// Line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// Key path, for example `services.maatboek.slots`; empty for the file as
-    /// a whole.
+    /// Key path, for example `services.maatboek.slots`; empty if the fault is not
+    /// at a key, such as a syntax error.
     pub path: String,
-    /// What is wrong.
+    /// What is wrong with the value or key.
     pub problem: String,
-    /// What would be accepted instead.
+    /// Which values or keys are accepted instead.
     pub accepted: String,
 }
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// Why a configuration was refused: every fault of its files, at least one.
+/// The configuration was rejected; lists every fault in its files, at least one.
 #[derive(Clone, Debug)]
 pub struct ConfigError {
     faults: Vec<Fault>,
@@ -40,7 +41,7 @@
         Self { faults }
     }
 
-    /// Every fault, in order of file and line.
+    /// All faults, in order of file, line and key path.
     #[must_use]
     pub fn faults(&self) -> &[Fault] {
         &self.faults
@@ -49,8 +50,8 @@
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, fault) in self.faults.iter().enumerate() {
-            if n > 0 {
+        for (index, fault) in self.faults.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             write!(f, "{fault}")?;
--- a/crates/filbertgrade/src/version/config/mod.rs
+++ b/crates/filbertgrade/src/version/config/mod.rs
@@ -19,75 +19,78 @@
 /// One file of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigFile<'a> {
-    /// Name that faults are reported under.
+    /// File name that faults are reported with.
     pub name: &'a str,
-    /// Content.
+    /// Content, as TOML.
     pub text: &'a str,
 }
 
-/// A whole configuration, checked.
+/// A complete, validated configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Name of the deployment.
     pub deployment: String,
-    /// How long a caller may use a look-up answer.
+    /// How long a caller may use a lookup response.
     pub lookup_ttl: Duration,
-    /// Largest fraction of a service's traffic that one step may move between
+    /// Maximum fraction of a service's traffic that one step may move between
     /// regions; above 0 and at most 1.
     pub shift_cap: f64,
-    /// Time for a step to be in force on every VM. The next step follows after
-    /// this time and `lookup_ttl`. A time shorter than a VM takes to learn of
-    /// a step or to find itself isolated lets two steps overlap.
+    /// Time until a step is in force on every VM. The next step follows after
+    /// this time plus `lookup_ttl`. If it is shorter than a VM needs to receive
+    /// a step, or to detect that it is isolated, two steps can overlap.
     pub shift_settle: Duration,
-    /// What the network between regions gives.
+    /// Latencies and bandwidth of the network.
     pub network: Network,
     /// Regions, in the order of the file. Every failure domain belongs to
     /// exactly one region.
     pub regions: IndexMap<RegionName, RegionConfig>,
-    /// Services.
+    /// Services by name, in the order of the file.
     pub services: IndexMap<ServiceName, ServiceConfig>,
-    /// Teams.
+    /// Teams by name, in the order of the file.
     pub teams: IndexMap<TeamName, TeamConfig>,
-    /// Which region a block of clients is closest to.
+    /// Blocks of client addresses with the region closest to each.
     pub client_blocks: Vec<(IpNet, RegionName)>,
 }
 
-/// Latencies, one way, and bandwidth of a deployment's network.
+/// One-way latencies and bandwidth of a deployment's network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    /// Region that holds the platform's store.
+    /// Region that the platform's store is in.
     pub store_region: RegionName,
-    /// Between failure domains of one region.
+    /// Latency between failure domains of one region.
     pub domain_latency: Duration,
-    /// Between regions.
+    /// Latency between regions.
     pub region_latency: Duration,
-    /// Between clients and the nearest VM.
+    /// Latency between clients and the nearest VM.
     pub client_latency: Duration,
-    /// Cost of a new connection.
+    /// Time needed to open a connection.
     pub connect_cost: Duration,
-    /// Each way between two regions, in Mbit/s, shared by all traffic.
+    /// Bandwidth in each direction between two regions, in Mbit/s, shared by all
+    /// traffic.
     pub region_bandwidth_mbit: u64,
 }
 
-/// One region.
+/// Configuration of one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionConfig {
     /// Failure domains of the region.
     pub failure_domains: Vec<FailureDomainName>,
-    /// Expected share of the callers' traffic; only the proportions count.
+    /// Expected share of the callers' traffic, relative to the other regions.
     pub arrivals: u32,
 }
 
-/// One service.
+/// Configuration of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceConfig {
     /// Who may send requests.
     pub access: Access,
-    /// Requests that one endpoint runs at the same time; at least 1.
+    /// Maximum number of requests that one endpoint runs at the same time; at
+    /// least 1.
     pub slots: u32,
-    /// Connections that one endpoint accepts from all VMs together.
+    /// Maximum number of connections that one endpoint accepts from all VMs
+    /// together; at least `slots`.
     pub connections: u32,
-    /// Configured share of traffic by region; only the proportions count.
+    /// Configured share of traffic by region, relative to the other regions.
     pub weights: IndexMap<RegionName, u32>,
     /// Addresses of the endpoints by failure domain.
     pub endpoints: IndexMap<FailureDomainName, Vec<SocketAddr>>,
@@ -96,27 +99,27 @@
 /// Who may send requests to a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// Only callers that show a key of a team.
+    /// Only callers that present a team's key.
     Key,
-    /// Everybody.
+    /// All callers, without a key.
     Open,
 }
 
-/// One team's share of the deployment.
+/// Rate limit of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamConfig {
-    /// Requests per second over all VMs together.
+    /// Requests per second across all VMs.
     pub rate: f64,
-    /// Requests at once over all VMs together.
+    /// Maximum burst in requests, across all VMs; at least 1.
     pub burst: f64,
 }
 
 impl Config {
-    /// Parses and checks the text of one configuration file.
+    /// Parses and validates the text of one configuration file.
     ///
     /// # Errors
     ///
-    /// Lists every fault of the text.
+    /// Fails if the text has faults; the error lists all of them.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         Self::parse_files(&[ConfigFile {
             name: "configuration",
@@ -124,17 +127,18 @@
         }])
     }
 
-    /// Parses files whose tables are merged, and checks the whole.
+    /// Parses several files, merges their tables and validates the result.
     ///
     /// # Errors
     ///
-    /// Lists every fault of all files. A key that two files give is a fault.
+    /// Fails if the files have faults; the error lists all of them. A key that
+    /// is set in two files is a fault.
     pub fn parse_files(files: &[ConfigFile<'_>]) -> Result<Self, ConfigError> {
         let (root, reader) = tree::merge(files);
         read::read(&root, reader)
     }
 
-    /// The region that a failure domain belongs to.
+    /// Returns the region of a failure domain, or `None` if no region has it.
     #[must_use]
     pub fn region_of(&self, domain: &FailureDomainName) -> Option<&RegionName> {
         self.regions
@@ -145,7 +149,7 @@
 }
 
 impl ServiceConfig {
-    /// All endpoints with their failure domains.
+    /// Iterates over the addresses of all endpoints with their failure domains.
     pub fn all_endpoints(&self) -> impl Iterator<Item = (&FailureDomainName, SocketAddr)> {
         self.endpoints
             .iter()
--- a/crates/filbertgrade/src/version/config/text.rs
+++ b/crates/filbertgrade/src/version/config/text.rs
@@ -1,4 +1,5 @@
-//! The canonical text of a configuration, and differences by key path.
+//! Canonical text of a configuration, and differences between configurations by
+//! key path.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,99 +9,99 @@
 
 use super::{Access, Config};
 
-/// One key of the canonical text.
+/// One line of the canonical text: a dotted key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigLine {
     /// Key path, for example `services.maatboek.slots`.
     pub path: String,
-    /// Value, or the elements of an array, as TOML.
+    /// Value of the key.
     pub value: ConfigValue,
 }
 
 /// Value of a [`ConfigLine`], as TOML.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigValue {
-    /// One value.
-    One(String),
-    /// The elements of an array.
-    Many(Vec<String>),
+    /// A scalar.
+    Scalar(String),
+    /// The elements of an array, in order.
+    Array(Vec<String>),
 }
 
 /// One difference between two configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigChange {
-    /// The key is new.
+    /// The key exists only in the new configuration.
     Added(ConfigLine),
-    /// The key is gone.
+    /// The key exists only in the old configuration.
     Removed(ConfigLine),
-    /// The key has another value.
+    /// The key exists in both configurations with different values.
     Changed {
-        /// What is in force.
+        /// Line of the old configuration.
         from: ConfigLine,
-        /// What the file says.
+        /// Line of the new configuration.
         to: ConfigLine,
     },
 }
 
 impl Config {
-    /// Every key with its value, in the order of the file. Two configurations
-    /// with the same lines are the same.
+    /// Returns every key with its value, in a fixed order of sections and in the
+    /// order of the file within them. Configurations with equal lines are equal.
     #[must_use]
     pub fn lines(&self) -> Vec<ConfigLine> {
         let mut lines = Lines::default();
-        lines.one("deployment".into(), quoted(&self.deployment));
-        lines.one("lookup.ttl_ms".into(), self.lookup_ttl.as_millis());
-        lines.one("shift.cap".into(), float(self.shift_cap));
-        lines.one("shift.settle_ms".into(), self.shift_settle.as_millis());
+        lines.scalar("deployment".into(), quoted(&self.deployment));
+        lines.scalar("lookup.ttl_ms".into(), self.lookup_ttl.as_millis());
+        lines.scalar("shift.cap".into(), float(self.shift_cap));
+        lines.scalar("shift.settle_ms".into(), self.shift_settle.as_millis());
         let network = &self.network;
-        lines.one("network.store_region".into(), quoted(&network.store_region));
+        lines.scalar("network.store_region".into(), quoted(&network.store_region));
         for (key, value) in [
             ("domain_latency_ms", network.domain_latency),
             ("region_latency_ms", network.region_latency),
             ("client_latency_ms", network.client_latency),
             ("connect_ms", network.connect_cost),
         ] {
-            lines.one(format!("network.{key}"), float(millis(value)));
+            lines.scalar(format!("network.{key}"), float(millis(value)));
         }
-        lines.one(
+        lines.scalar(
             "network.region_bandwidth_mbit".into(),
             network.region_bandwidth_mbit,
         );
         for (name, region) in &self.regions {
-            lines.many(
+            lines.array(
                 format!("regions.{name}.failure_domains"),
                 &region.failure_domains,
             );
-            lines.one(format!("regions.{name}.arrivals"), region.arrivals);
+            lines.scalar(format!("regions.{name}.arrivals"), region.arrivals);
         }
         for (name, service) in &self.services {
             let path = format!("services.{name}");
-            lines.one(format!("{path}.open"), service.access == Access::Open);
-            lines.one(format!("{path}.slots"), service.slots);
-            lines.one(format!("{path}.connections"), service.connections);
+            lines.scalar(format!("{path}.open"), service.access == Access::Open);
+            lines.scalar(format!("{path}.slots"), service.slots);
+            lines.scalar(format!("{path}.connections"), service.connections);
             for (region, weight) in &service.weights {
-                lines.one(format!("{path}.weights.{region}"), weight);
+                lines.scalar(format!("{path}.weights.{region}"), weight);
             }
             for (domain, addresses) in &service.endpoints {
-                lines.many(format!("{path}.endpoints.{domain}"), addresses);
+                lines.array(format!("{path}.endpoints.{domain}"), addresses);
             }
         }
         for (name, team) in &self.teams {
-            lines.one(format!("teams.{name}.rate"), float(team.rate));
-            lines.one(format!("teams.{name}.burst"), float(team.burst));
+            lines.scalar(format!("teams.{name}.rate"), float(team.rate));
+            lines.scalar(format!("teams.{name}.burst"), float(team.burst));
         }
         let mut blocks: IndexMap<_, Vec<_>> = IndexMap::new();
         for (block, region) in &self.client_blocks {
             blocks.entry(region).or_default().push(block);
         }
         for (region, blocks) in blocks {
-            lines.many(format!("client_blocks.{region}"), &blocks);
+            lines.array(format!("client_blocks.{region}"), &blocks);
         }
         lines.0
     }
 
-    /// The canonical text: one dotted key a line. Parsing it gives the same
-    /// configuration.
+    /// Returns the canonical text, with one dotted key per line. Parsing it
+    /// yields an equal configuration.
     #[must_use]
     pub fn to_text(&self) -> String {
         self.lines()
@@ -109,7 +110,8 @@
             .collect()
     }
 
-    /// What `to` changes, in the order of its keys; removed keys come last.
+    /// Lists the changes from this configuration to `to`, in the order of the
+    /// keys of `to`; removed keys come last.
     #[must_use]
     pub fn changes_to(&self, to: &Self) -> Vec<ConfigChange> {
         let by_path = |cfg: &Self| -> IndexMap<String, ConfigLine> {
@@ -121,8 +123,8 @@
         for (path, line) in to {
             match from.shift_remove(&path) {
                 None => changes.push(ConfigChange::Added(line)),
-                Some(known) if known != line => changes.push(ConfigChange::Changed {
-                    from: known,
+                Some(previous) if previous != line => changes.push(ConfigChange::Changed {
+                    from: previous,
                     to: line,
                 }),
                 Some(_) => {}
@@ -142,8 +144,8 @@
 impl fmt::Display for ConfigValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::One(value) => f.write_str(value),
-            Self::Many(values) => write!(f, "[{}]", values.join(", ")),
+            Self::Scalar(value) => f.write_str(value),
+            Self::Array(values) => write!(f, "[{}]", values.join(", ")),
         }
     }
 }
@@ -154,7 +156,7 @@
             Self::Added(line) => write!(f, "+ {line}"),
             Self::Removed(line) => write!(f, "- {line}"),
             Self::Changed { from, to } => match (&from.value, &to.value) {
-                (ConfigValue::Many(old), ConfigValue::Many(new)) => {
+                (ConfigValue::Array(old), ConfigValue::Array(new)) => {
                     write!(f, "~ {}:", to.path)?;
                     write_elements(f, old, new)
                 }
@@ -164,6 +166,7 @@
     }
 }
 
+/// Writes the elements of an array that were removed and added.
 fn write_elements(f: &mut fmt::Formatter<'_>, old: &[String], new: &[String]) -> fmt::Result {
     let (before, after): (BTreeSet<_>, BTreeSet<_>) = (old.iter().collect(), new.iter().collect());
     if before == after {
@@ -178,27 +181,30 @@
     Ok(())
 }
 
+/// Builder of canonical lines.
 #[derive(Default)]
 struct Lines(Vec<ConfigLine>);
 
 impl Lines {
-    fn one(&mut self, path: String, value: impl fmt::Display) {
-        let value = ConfigValue::One(value.to_string());
+    fn scalar(&mut self, path: String, value: impl fmt::Display) {
+        let value = ConfigValue::Scalar(value.to_string());
         self.0.push(ConfigLine { path, value });
     }
 
-    fn many(&mut self, path: String, values: &[impl fmt::Display]) {
-        let value = ConfigValue::Many(values.iter().map(quoted).collect());
+    fn array(&mut self, path: String, values: &[impl fmt::Display]) {
+        let value = ConfigValue::Array(values.iter().map(quoted).collect());
         self.0.push(ConfigLine { path, value });
     }
 }
 
-/// Names, addresses and blocks hold no character that TOML escapes.
+/// Formats a TOML string. Names, addresses and blocks contain no character that
+/// TOML needs escaped.
 fn quoted(value: impl fmt::Display) -> String {
     format!("\"{value}\"")
 }
 
-/// The debug form keeps every digit and a mark that tells it from an integer.
+/// Formats a TOML float. The debug format keeps every digit, and always has a
+/// decimal point or exponent that distinguishes it from an integer.
 fn float(value: f64) -> String {
     format!("{value:?}")
 }
--- a/crates/filbertgrade/src/version/config/tree.rs
+++ b/crates/filbertgrade/src/version/config/tree.rs
@@ -1,4 +1,4 @@
-//! The merged tables of configuration files, with the place of every value.
+//! Merged tables of configuration files, with the source location of every value.
 
 use indexmap::IndexMap;
 use indexmap::map::Entry;
@@ -7,21 +7,24 @@
 
 use super::{ConfigFile, Fault};
 
-/// Where a key or value stands: index of the file, and line from 1.
+/// Source location of a key or value.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Place {
+pub(super) struct Location {
+    /// Index of the file in [`Faults::files`].
     file: usize,
+    /// Line number, counted from 1.
     line: usize,
 }
 
-/// One value with its place.
+/// One value with its source location.
 #[derive(Debug)]
 pub(super) struct Node {
-    pub(super) at: Place,
+    /// Location of the key in a table, or of the value in an array.
+    pub(super) location: Location,
     pub(super) value: Value,
 }
 
-/// Values that a configuration may hold.
+/// Value types that a configuration can contain.
 #[derive(Debug)]
 pub(super) enum Value {
     Table(IndexMap<String, Node>),
@@ -30,47 +33,51 @@
     Int(i64),
     Float(f64),
     Bool(bool),
-    /// A value of a kind that no key accepts, as text.
+    /// A value that no key accepts, such as a date or a number out of range, as
+    /// text.
     Other(String),
 }
 
-/// Collects faults.
+/// Collects the faults found while reading the files.
 #[derive(Debug)]
 pub(super) struct Faults {
+    /// Names of the files, by the index that locations refer to.
     files: Vec<String>,
     found: Vec<Fault>,
-    /// Lines with syntax errors.
-    broken: Vec<Place>,
-    /// Every file was syntactically correct, so a key that is absent is
-    /// missing rather than unreadable.
-    pub(super) complete: bool,
+    /// Lines that have a syntax error.
+    syntax_errors: Vec<Location>,
+    /// Whether all files are free of syntax errors. Otherwise a key that is
+    /// absent may be on an unreadable line, so it is not reported as missing.
+    pub(super) all_parsed: bool,
 }
 
 impl Faults {
+    /// Records a fault, unless its line has a syntax error.
     pub(super) fn add(
         &mut self,
-        at: Place,
+        location: Location,
         path: &str,
         problem: impl Into<String>,
         accepted: impl Into<String>,
     ) {
-        // After a syntax error the parser guesses the value of the line.
-        if self.broken.contains(&at) {
+        // The parser recovers from a syntax error with a made-up value for the
+        // line, so other faults of the line are not real.
+        if self.syntax_errors.contains(&location) {
             return;
         }
         self.found.push(Fault {
-            file: self.files.get(at.file).cloned().unwrap_or_default(),
-            line: at.line,
+            file: self.files.get(location.file).cloned().unwrap_or_default(),
+            line: location.line,
             path: path.to_owned(),
             problem: problem.into(),
             accepted: accepted.into(),
         });
     }
 
-    /// The place as `file:line`.
-    pub(super) fn place(&self, at: Place) -> String {
-        let file = self.files.get(at.file).map_or("", String::as_str);
-        format!("{file}:{}", at.line)
+    /// Formats a location as `file:line`.
+    pub(super) fn format_location(&self, location: Location) -> String {
+        let file = self.files.get(location.file).map_or("", String::as_str);
+        format!("{file}:{}", location.line)
     }
 
     pub(super) fn into_found(self) -> Vec<Fault> {
@@ -78,32 +85,35 @@
     }
 }
 
-/// Parses all files and merges their tables.
+/// Parses all files and merges their tables. Faults found so far are returned
+/// with the merged table.
 pub(super) fn merge(files: &[ConfigFile<'_>]) -> (Node, Faults) {
     let mut faults = Faults {
         files: files.iter().map(|file| file.name.to_owned()).collect(),
         found: Vec::new(),
-        broken: Vec::new(),
-        complete: true,
+        syntax_errors: Vec::new(),
+        all_parsed: true,
     };
     let mut root = IndexMap::new();
-    for (index, file) in files.iter().enumerate() {
-        let lines = Lines::new(index, file.text);
+    for (file_index, file) in files.iter().enumerate() {
+        let line_index = LineIndex::new(file_index, file.text);
         let (table, errors) = DeTable::parse_recoverable(file.text);
         for error in errors {
-            let at = lines.place(error.span().map_or(0, |span| span.start));
-            faults.add(at, "", error.message().trim(), "TOML 1.0");
-            faults.broken.push(at);
-            faults.complete = false;
+            let location = line_index.location(error.span().map_or(0, |span| span.start));
+            faults.add(location, "", error.message().trim(), "TOML 1.0");
+            faults.syntax_errors.push(location);
+            faults.all_parsed = false;
         }
-        let table = lines.table(table.get_ref());
+        let table = line_index.table(table.get_ref());
         merge_into(&mut root, table, "", &mut faults);
     }
-    let at = Place { file: 0, line: 1 };
+    let location = Location { file: 0, line: 1 };
     let value = Value::Table(root);
-    (Node { at, value }, faults)
+    (Node { location, value }, faults)
 }
 
+/// Merges the keys of one table into another. A key that both tables
+/// have is a fault, unless its value is a table in both.
 fn merge_into(
     into: &mut IndexMap<String, Node>,
     from: IndexMap<String, Node>,
@@ -116,21 +126,21 @@
             Entry::Vacant(vacant) => {
                 vacant.insert(node);
             }
-            Entry::Occupied(mut known) => match (&mut known.get_mut().value, node.value) {
-                (Value::Table(known), Value::Table(table)) => {
-                    merge_into(known, table, &path, faults);
+            Entry::Occupied(mut existing) => match (&mut existing.get_mut().value, node.value) {
+                (Value::Table(existing), Value::Table(table)) => {
+                    merge_into(existing, table, &path, faults);
                 }
                 _ => {
-                    let first = faults.place(known.get().at);
+                    let first = faults.format_location(existing.get().location);
                     let problem = format!("given twice, first at {first}");
-                    faults.add(node.at, &path, problem, "one value over all files");
+                    faults.add(node.location, &path, problem, "one value over all files");
                 }
             },
         }
     }
 }
 
-/// The path of `key` in the table at `path`.
+/// Returns the dotted path of `key` in the table at `path`.
 pub(super) fn join(path: &str, key: &str) -> String {
     if path.is_empty() {
         key.to_owned()
@@ -139,23 +149,23 @@
     }
 }
 
-/// Line starts of one file.
-struct Lines {
+/// Byte offsets of the line starts of one file, which map spans to locations.
+struct LineIndex {
     file: usize,
     starts: Vec<usize>,
 }
 
-impl Lines {
+impl LineIndex {
     fn new(file: usize, text: &str) -> Self {
         let breaks = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
         let starts = std::iter::once(0)
-            .chain(breaks.map(|(at, _)| at + 1))
+            .chain(breaks.map(|(offset, _)| offset + 1))
             .collect();
         Self { file, starts }
     }
 
-    fn place(&self, offset: usize) -> Place {
-        Place {
+    fn location(&self, offset: usize) -> Location {
+        Location {
             file: self.file,
             line: self.starts.partition_point(|start| *start <= offset),
         }
@@ -163,13 +173,13 @@
 
     fn table(&self, table: &DeTable<'_>) -> IndexMap<String, Node> {
         let mut keys: Vec<_> = table.iter().collect();
-        // The parser orders keys by name; the order of the file is visible to
-        // operators and is kept.
+        // The parser sorts keys by name. The order of the file is restored,
+        // since operators see it in the output of commands.
         keys.sort_by_key(|(key, _)| key.span().start);
         keys.into_iter()
             .map(|(key, value)| {
                 let mut node = self.node(value);
-                node.at = self.place(key.span().start);
+                node.location = self.location(key.span().start);
                 (key.get_ref().to_string(), node)
             })
             .collect()
@@ -177,7 +187,7 @@
 
     fn node(&self, value: &Spanned<DeValue<'_>>) -> Node {
         Node {
-            at: self.place(value.span().start),
+            location: self.location(value.span().start),
             value: self.value(value.get_ref()),
         }
     }
--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas of the object map as they travel between processes.
+//! Paged transfer of object map deltas between processes.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,50 +12,56 @@
 use crate::platform::{Changes, Revision};
 use crate::wire::{self, Resume};
 
-/// Bytes of objects in one page, unless a single object is larger. With an
-/// object of 1 MB, a page stays within the frame limit.
-const PAGE_BYTES: usize = 512 * 1024;
+/// Maximum bytes of objects in one page, unless a single object is larger. A
+/// page that holds one object of 1 MB still fits into a frame.
+const MAX_PAGE_BYTES: usize = 512 * 1024;
 
-/// Overhead of one object in a page besides its name and value, in bytes.
-const OBJECT_BYTES: usize = 32;
+/// Estimated encoding overhead of one object, added to the length of its name
+/// and value.
+const OBJECT_OVERHEAD_BYTES: usize = 32;
 
-/// Longest delta that a receiver collects. It bounds the memory that a faulty
-/// peer takes, well above the objects of the largest fleet.
-const COLLECTED_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a delta that a receiver collects. It bounds the memory that
+/// a faulty peer can occupy, and is well above the objects of the largest fleet.
+const MAX_COLLECTED_BYTES: usize = 64 * 1024 * 1024;
 
-/// Time after which a delta whose receiver asked for no further page is forgotten.
-const KEPT_FOR: Duration = Duration::from_secs(5);
+/// Time after which a delta is dropped if its receiver requested no further page.
+const RETENTION: Duration = Duration::from_secs(5);
 
-/// Deltas kept at a time for receivers that have only a part of them.
-const MOST_KEPT: usize = 64;
+/// Maximum number of deltas retained for receivers that still need further pages.
+const MAX_RETAINED: usize = 64;
 
-/// The sending side of deltas that take more than one page.
+/// Sending side of deltas that span more than one page.
 ///
-/// A delta is kept as it was when its first page was sent, so that a receiver
-/// completes it although the state changes meanwhile.
+/// A delta is retained as it was when its first page was sent, so that the
+/// receiver can complete it even if the state changes in the meantime.
 #[derive(Debug, Default)]
 pub(crate) struct OutgoingDeltas {
-    kept: VecDeque<KeptDelta>,
+    retained: VecDeque<RetainedDelta>,
 }
 
 #[derive(Debug)]
-struct KeptDelta {
+struct RetainedDelta {
     receiver: String,
     delta: wire::Delta,
-    used_at: Instant,
+    last_used: Instant,
 }
 
-/// The receiving side of a delta that takes more than one page.
+/// Receiving side of a delta that spans more than one page.
 #[derive(Debug, Default)]
 pub(crate) struct IncomingDelta {
-    /// The pages so far, in one; never complete.
+    /// The pages received so far, joined; never a complete delta.
     collected: Option<wire::Delta>,
+    /// Size of the collected objects, as [`object_bytes`] counts it.
     bytes: usize,
 }
 
-/// A page that does not continue the pages before it, or is too much.
+/// The page is empty, does not continue the previous pages, or makes the delta
+/// exceed [`MAX_COLLECTED_BYTES`].
 #[derive(Debug, thiserror::Error)]
-#[error("page at object {first} of {total} does not follow {collected} objects of {bytes} bytes")]
+#[error(
+    "delta page at object {first} of {total} rejected: {collected} objects are collected, \
+     {bytes} bytes including this page"
+)]
 pub(crate) struct PageError {
     first: u64,
     total: u64,
@@ -64,9 +70,12 @@
 }
 
 impl OutgoingDeltas {
-    /// What `receiver`, whose copy is at `revision`, gets next; `None` when it
-    /// is up to date.
-    pub(crate) fn page(
+    /// Returns the next page for `receiver`, whose copy is at `revision`, or
+    /// `None` if it is up to date.
+    ///
+    /// `resume` names the page that the receiver needs of a delta it has begun.
+    /// If that delta is no longer retained, a new one starts at its first page.
+    pub(crate) fn next_page(
         &mut self,
         objects: &VersionedMap<Bytes>,
         receiver: &str,
@@ -74,27 +83,29 @@
         resume: Option<Resume>,
         now: Instant,
     ) -> Option<wire::Delta> {
-        self.kept.retain(|kept| now < kept.used_at + KEPT_FOR);
+        self.retained
+            .retain(|retained| now < retained.last_used + RETENTION);
         if let Some(resume) = resume
-            && let Some(kept) = self.kept.iter_mut().find(|kept| {
-                kept.receiver == receiver
-                    && (kept.delta.from, kept.delta.to) == (resume.from, resume.to)
+            && let Some(retained) = self.retained.iter_mut().find(|retained| {
+                retained.receiver == receiver
+                    && (retained.delta.from, retained.delta.to) == (resume.from, resume.to)
             })
         {
-            kept.used_at = now;
-            return Some(page_of(&kept.delta, resume.next));
+            retained.last_used = now;
+            return Some(page_of(&retained.delta, resume.next));
         }
         let delta = delta_for(objects, revision)?;
         let page = page_of(&delta, 0);
         if page.objects.len() < delta.objects.len() {
-            self.kept.retain(|kept| kept.receiver != receiver);
-            if self.kept.len() == MOST_KEPT {
-                self.kept.pop_front();
+            self.retained
+                .retain(|retained| retained.receiver != receiver);
+            if self.retained.len() == MAX_RETAINED {
+                self.retained.pop_front();
             }
-            self.kept.push_back(KeptDelta {
+            self.retained.push_back(RetainedDelta {
                 receiver: receiver.to_owned(),
                 delta,
-                used_at: now,
+                last_used: now,
             });
         }
         Some(page)
@@ -102,8 +113,8 @@
 }
 
 impl IncomingDelta {
-    /// The page to ask for next, if a delta is incomplete.
-    pub(crate) fn resume(&self) -> Option<Resume> {
+    /// Returns which page to request next, or `None` if no delta is incomplete.
+    pub(crate) fn next_page_request(&self) -> Option<Resume> {
         self.collected.as_ref().map(|delta| Resume {
             from: delta.from,
             to: delta.to,
@@ -111,26 +122,26 @@
         })
     }
 
-    /// Takes one page, and returns the delta once it is complete. A first page
-    /// starts anew.
+    /// Adds one page, and returns the delta once it is complete. A first page
+    /// discards the pages of any earlier delta.
     ///
     /// # Errors
     ///
-    /// Fails when the page does not continue the ones before it. They are
-    /// forgotten then.
-    pub(crate) fn take(&mut self, page: wire::Delta) -> Result<Option<wire::Delta>, PageError> {
-        let before = self.collected.take().filter(|_| page.first > 0);
-        let mut bytes = if before.is_some() { self.bytes } else { 0 };
+    /// Fails if the page is empty, does not continue the previous ones, or
+    /// makes the delta too large. All pages collected so far are discarded then.
+    pub(crate) fn add_page(&mut self, page: wire::Delta) -> Result<Option<wire::Delta>, PageError> {
+        let previous = self.collected.take().filter(|_| page.first > 0);
+        let mut bytes = if previous.is_some() { self.bytes } else { 0 };
         bytes += page.objects.iter().map(object_bytes).sum::<usize>();
-        let collected = before
+        let collected = previous
             .as_ref()
             .map_or(0, |delta| delta.objects.len() as u64);
-        let continues = before.as_ref().is_none_or(|delta| {
+        let continues = previous.as_ref().is_none_or(|delta| {
             (delta.from, delta.to, delta.snapshot, delta.total)
                 == (page.from, page.to, page.snapshot, page.total)
         });
         let empty = page.objects.is_empty() && page.total > 0;
-        if page.first != collected || !continues || empty || bytes > COLLECTED_BYTES {
+        if page.first != collected || !continues || empty || bytes > MAX_COLLECTED_BYTES {
             return Err(PageError {
                 first: page.first,
                 total: page.total,
@@ -138,7 +149,7 @@
                 bytes,
             });
         }
-        let delta = match before {
+        let delta = match previous {
             Some(mut delta) => {
                 delta.objects.extend(page.objects);
                 delta
@@ -154,15 +165,15 @@
     }
 }
 
-/// The page of `delta` that starts after its first `first` objects.
+/// Returns the page of `delta` that starts after its first `first` objects.
 fn page_of(delta: &wire::Delta, first: u64) -> wire::Delta {
     let rest = delta.objects.get(first as usize..).unwrap_or_default();
     let mut bytes = 0;
-    let fitting = rest.iter().take_while(|object| {
+    let page_objects = rest.iter().take_while(|object| {
         bytes += object_bytes(object);
-        bytes <= PAGE_BYTES
+        bytes <= MAX_PAGE_BYTES
     });
-    let count = fitting.count().max(1).min(rest.len());
+    let count = page_objects.count().max(1).min(rest.len());
     wire::Delta {
         from: delta.from,
         to: delta.to,
@@ -174,10 +185,10 @@
 }
 
 fn object_bytes(object: &wire::Object) -> usize {
-    object.name.len() + object.value.as_ref().map_or(0, Bytes::len) + OBJECT_BYTES
+    object.name.len() + object.value.as_ref().map_or(0, Bytes::len) + OBJECT_OVERHEAD_BYTES
 }
 
-/// What a copy at `revision` lacks; `None` when it is up to date.
+/// Returns what a copy at `revision` lacks, or `None` if it is up to date.
 fn delta_for(objects: &VersionedMap<Bytes>, revision: Revision) -> Option<wire::Delta> {
     match objects.catch_up_from(revision) {
         CatchUp::UpToDate => None,
@@ -186,11 +197,11 @@
     }
 }
 
-/// Applies a delta or snapshot of a peer.
+/// Applies a delta or snapshot received from a peer.
 ///
 /// # Errors
 ///
-/// Fails without effect when the delta contradicts itself.
+/// Fails if the delta is inconsistent; `objects` is unchanged then.
 pub(crate) fn apply_delta(
     objects: &mut VersionedMap<Bytes>,
     delta: wire::Delta,
@@ -203,7 +214,7 @@
 }
 
 impl Changes {
-    /// The changes that a watch after revision `from` gave.
+    /// Converts the result of a watch that started after revision `from`.
     pub(crate) fn into_delta(self, from: Revision) -> Delta<Bytes> {
         Delta {
             from,
@@ -220,7 +231,7 @@
         }
     }
 
-    /// The objects that a list gave.
+    /// Converts the result of a list; entries without a value are left out.
     pub(crate) fn into_snapshot(self) -> Snapshot<Bytes> {
         Snapshot {
             revision: self.revision,
--- a/crates/filbertgrade/src/version/fleet.rs
+++ b/crates/filbertgrade/src/version/fleet.rs
@@ -1,36 +1,36 @@
-//! VMs as the platform lists them.
+//! VM records of the platform's list.
 
 use std::net::IpAddr;
 
 use filbertgrade_coord::names::{FailureDomainName, RegionName, VmName};
 use serde::{Deserialize, Serialize};
 
-/// One VM of the platform's list, checked.
+/// One VM of the platform's list, validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmRecord {
-    /// Name, unique to this VM; a replaced VM gets another one.
+    /// Unique name; a replacement VM gets a new one.
     pub name: VmName,
-    /// IP address.
+    /// Address that its processes listen on; the ports are settings.
     pub address: IpAddr,
-    /// Region.
+    /// Region that the VM runs in.
     pub region: RegionName,
-    /// Failure domain.
+    /// Failure domain of the region that the VM runs in.
     pub failure_domain: FailureDomainName,
-    /// Whether the VM is about to leave.
+    /// Whether the platform is about to stop the VM.
     pub state: VmState,
 }
 
-/// Whether a VM is about to leave.
+/// Whether the platform is about to stop a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// The VM stays.
+    /// The VM keeps running.
     Live,
-    /// The VM will be stopped.
+    /// The VM is about to be stopped and accepts no new work.
     Leaving,
 }
 
-/// A VM as the platform stores it, under `vms/<name>`.
+/// Stored form of a VM record, the object `vms/<name>`.
 #[derive(Debug, Serialize, Deserialize)]
 struct VmFile {
     name: String,
@@ -41,7 +41,7 @@
 }
 
 impl VmRecord {
-    /// Reads a record of the platform's list; `None` when it is malformed.
+    /// Decodes a stored record, or returns `None` if it is malformed.
     #[must_use]
     pub fn decode(value: &[u8]) -> Option<Self> {
         serde_json::from_slice::<VmFile>(value)
@@ -50,13 +50,13 @@
             .ok()
     }
 
-    /// The record as the platform stores it.
+    /// Encodes the record in its stored form, JSON.
     #[must_use]
     pub fn encode(&self) -> String {
         serde_json::to_string(&VmFile::from(self)).unwrap_or_default()
     }
 
-    /// The VM stays.
+    /// Returns whether the VM keeps running, that is, is not leaving.
     #[must_use]
     pub fn is_live(&self) -> bool {
         self.state == VmState::Live
--- a/crates/filbertgrade/src/version/in_force.rs
+++ b/crates/filbertgrade/src/version/in_force.rs
@@ -1,4 +1,7 @@
 //! The view of the platform's objects that is in force in one process.
+//!
+//! A view is immutable. A process builds a new one from its object map after
+//! each change, and each request uses one view throughout a decision.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,72 +16,76 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::clients::ClientTable;
-use super::routes::{self, Drains, Routes, RoutesInput};
+use super::client_regions::ClientRegionTable;
+use super::region_splits::{self, Drains, RegionSplits, RegionSplitsInput};
 use super::shares::{self, SHARE_TABLE};
-use super::steering::{STEERING, SteeringTable};
+use super::steering::{STEERING_WEIGHTS, SteeringTable};
 use super::{Config, KeyRecord, KeyTable, ServiceName, VmRecord};
 use crate::logfmt;
 use crate::platform::Revision;
 
-/// Name of the object that makes a configuration visible.
+/// Name of the root object; writing it puts a new configuration into force.
 pub const CONFIG_ROOT: &str = "config/root";
 
-/// Applies that a root names, so that an operator whose answer was lost learns
-/// the outcome although others applied since. At one apply every second, an
-/// id stays longer than the 10 s in which an outcome is looked for.
+/// Number of recent applies that a root lists. An operator who lost the store's
+/// response finds its outcome there even if others have applied since. At one
+/// apply per second, an id stays listed for longer than the 10 s during which
+/// `apply` looks for its outcome.
 pub const RECENT_APPLIES: usize = 16;
 
-/// The root of a configuration: the parts that make up its text.
+/// Stored form of a configuration's root, the object [`CONFIG_ROOT`]: it lists
+/// the parts that make up the configuration text.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigRoot {
-    /// Counts accepted configurations, from 1.
+    /// Number of the accepted configuration, counted from 1.
     pub version: u64,
-    /// Id of the run of `apply` that wrote this root.
+    /// Id of the `apply` run that wrote this root.
     pub apply_id: String,
-    /// SHA-256 digests of the parts, in order.
+    /// SHA-256 digests of the parts, in the order of the text.
     pub parts: Vec<String>,
-    /// The last applies, this one included, oldest first; at most
+    /// The most recent applies including this one, oldest first; at most
     /// [`RECENT_APPLIES`].
     #[serde(default)]
     pub recent: Vec<AppliedVersion>,
 }
 
-/// An accepted run of `apply`.
+/// An accepted `apply` run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AppliedVersion {
-    /// Version that it wrote.
+    /// Configuration version that the run wrote.
     pub version: u64,
-    /// Its id.
+    /// Id of the run, unique among all applies.
     pub apply_id: String,
 }
 
-/// Everything that requests are decided on, as of one revision.
+/// All state that decisions on requests depend on, as of one revision.
 #[derive(Clone, Debug, Default)]
 pub struct InForce {
     /// Revision of the objects that this view was built from.
     pub revision: Revision,
-    /// Version of the configuration in force; 0 before the first one.
+    /// Version of the configuration in force; 0 if there is none yet.
     pub config_version: u64,
-    /// The configuration, once one was accepted.
+    /// The configuration in force; `None` until the first one is accepted.
     pub config: Option<Arc<Config>>,
-    /// Client blocks of the configuration.
-    pub(crate) clients: Option<Arc<ClientTable>>,
-    /// Region weights in effect.
+    /// Closest region of each client block of the configuration; `None` until
+    /// the first configuration is accepted.
+    pub(crate) client_regions: Option<Arc<ClientRegionTable>>,
+    /// Region weights in effect, as published by the allocator.
     pub(crate) steering: SteeringTable,
-    /// How traffic is split over regions.
-    pub(crate) routes: Arc<Routes>,
-    /// Keys.
+    /// Splits of lookups and requests over regions, derived from the other
+    /// fields.
+    pub(crate) region_splits: Arc<RegionSplits>,
+    /// Granted keys of all teams.
     pub keys: KeyTable,
     /// VMs of the platform's list.
     pub vms: IndexMap<VmName, VmRecord>,
     /// Each VM's units of every team's rate and burst.
     pub shares: ShareTable,
-    /// Backend servers that get no new work.
+    /// Backend servers that operators drain.
     pub drained_servers: HashSet<SocketAddr>,
-    /// VMs that operators drain.
+    /// Names of the VMs that operators drain.
     pub drained_vms: HashSet<String>,
-    /// Regions that operators drain.
+    /// Names of the regions that operators drain.
     pub drained_regions: HashSet<String>,
 }
 
@@ -86,31 +93,35 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) address: SocketAddr,
+    /// Requests that the endpoint runs at the same time.
     pub(crate) slots: u32,
-    /// The endpoint gets no new work.
+    /// Whether the endpoint gets no new work: its backend server is drained,
+    /// its VM accepts none, or the service's traffic has left its drained
+    /// region.
     pub(crate) drained: bool,
 }
 
 impl InForce {
     /// Builds the view from the objects of the platform.
     ///
-    /// A configuration that is incomplete or malformed leaves `previous` in
-    /// force, so that a fault in one object cannot take a service down.
+    /// If the stored configuration is incomplete or malformed, that of
+    /// `previous` stays in force, so that one bad object cannot take a service
+    /// down.
     #[must_use]
     pub fn build(objects: &VersionedMap<Bytes>, previous: &Self) -> Self {
         let mut view = Self {
             revision: objects.revision(),
             config_version: previous.config_version,
             config: previous.config.clone(),
-            clients: previous.clients.clone(),
+            client_regions: previous.client_regions.clone(),
             ..Self::default()
         };
         for (name, entry) in objects.iter() {
             view.add(name, &entry.value);
         }
         if let Some((version, config)) = newer_config(objects, previous.config_version) {
-            match ClientTable::build(version, &config) {
-                Ok(table) => view.clients = Some(Arc::new(table)),
+            match ClientRegionTable::build(version, &config) {
+                Ok(table) => view.client_regions = Some(Arc::new(table)),
                 Err(error) => log::error!(
                     "event=client_blocks_malformed version={version} error={}",
                     crate::logfmt::value(&error)
@@ -119,11 +130,11 @@
             view.config_version = version;
             view.config = Some(Arc::new(config));
         }
-        view.routes = Arc::new(view.new_routes());
+        view.region_splits = Arc::new(view.compute_region_splits());
         view
     }
 
-    /// The same view as of a later revision that changed no object.
+    /// Returns the same view with a later revision that changed no object.
     #[must_use]
     pub(crate) fn at_revision(&self, revision: Revision) -> Self {
         Self {
@@ -132,6 +143,8 @@
         }
     }
 
+    /// Adds one object of the store. Malformed objects and unknown names are
+    /// ignored.
     fn add(&mut self, name: &str, value: &Bytes) {
         if let Some(id) = name.strip_prefix("keys/") {
             if let Ok(record) = serde_json::from_slice::<KeyRecord>(value) {
@@ -145,7 +158,7 @@
             if let Some(table) = shares::decode(value) {
                 self.shares = table;
             }
-        } else if name == STEERING {
+        } else if name == STEERING_WEIGHTS {
             if let Some(table) = SteeringTable::decode(value) {
                 self.steering = table;
             }
@@ -160,7 +173,7 @@
         }
     }
 
-    /// Drains that the targets of the region weights follow.
+    /// The drains that the target region weights take into account.
     pub(crate) fn drains(&self) -> Drains<'_> {
         Drains {
             regions: &self.drained_regions,
@@ -168,13 +181,13 @@
         }
     }
 
-    fn new_routes(&self) -> Routes {
+    fn compute_region_splits(&self) -> RegionSplits {
         let Some(config) = self.config.as_deref() else {
-            return Routes::default();
+            return RegionSplits::default();
         };
-        // A service that the allocator has not published yet starts at its
-        // target.
-        let mut services = routes::targets(config, self.drains());
+        // A service for which the allocator has not published weights yet uses
+        // its target weights.
+        let mut services = region_splits::targets(config, self.drains());
         for (name, weights) in &mut services {
             if let Some(in_effect) = self.steering.services.get(name) {
                 weights.clone_from(in_effect);
@@ -182,30 +195,31 @@
         }
         let in_effect = self.steering.lookups.clone();
         let Some(lookups) = in_effect.or_else(|| Weights::average(services.values())) else {
-            return Routes::default();
+            return RegionSplits::default();
         };
         let vms = self.vms.values();
         let vms = vms.filter(|vm| vm.is_live() && !self.drained_vms.contains(vm.name.as_str()));
-        Routes::new(RoutesInput {
+        RegionSplits::new(RegionSplitsInput {
             config,
-            drained: &self.drained_regions,
+            drained_regions: &self.drained_regions,
             vms: vms.collect(),
             lookups,
             services,
         })
     }
 
-    /// A VM that stays and is not drained. The VMs of a drained region take
-    /// work until its weight is zero.
+    /// Returns whether a VM accepts new work: it is live and not drained. The
+    /// VMs of a drained region accept work until the region's lookup weight is
+    /// zero.
     #[must_use]
-    pub fn takes_work(&self, vm: &VmRecord) -> bool {
+    pub fn accepts_work(&self, vm: &VmRecord) -> bool {
         vm.is_live()
             && !self.drained_vms.contains(vm.name.as_str())
             && !(self.drained_regions.contains(vm.region.as_str())
-                && self.routes.is_left_by_lookups(&vm.region))
+                && self.region_splits.has_lookups_drained(&vm.region))
     }
 
-    /// Endpoints of a service in a region.
+    /// All endpoints of a service in a region, drained ones included.
     pub(crate) fn endpoints<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -223,12 +237,14 @@
                     .map(move |(_, address)| Endpoint {
                         address,
                         slots: service.slots,
-                        drained: self.is_left(service_name, region) || self.is_drained(address),
+                        drained: self.is_region_drained(service_name, region)
+                            || self.is_server_drained(address),
                     })
             })
     }
 
-    /// Endpoints of a service in a region that take new work, with their slots.
+    /// Addresses and slots of the endpoints of a service in a region that accept
+    /// new work.
     pub(crate) fn usable_endpoints<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -239,7 +255,8 @@
             .map(|endpoint| (endpoint.address, endpoint.slots))
     }
 
-    /// Time for a message between two regions and its answer.
+    /// Configured network round-trip time between two regions; zero without a
+    /// configuration.
     pub(crate) fn round_trip(&self, from: &RegionName, to: &RegionName) -> Duration {
         let Some(config) = &self.config else {
             return Duration::ZERO;
@@ -252,21 +269,25 @@
         one_way * 2
     }
 
-    /// A region is drained, and the service's traffic has moved out of it.
-    fn is_left(&self, service: &ServiceName, region: &RegionName) -> bool {
-        self.drained_regions.contains(region.as_str()) && self.routes.weight(service, region) == 0
+    /// Returns whether a region is drained and all of the service's traffic has
+    /// moved out of it.
+    fn is_region_drained(&self, service: &ServiceName, region: &RegionName) -> bool {
+        self.drained_regions.contains(region.as_str())
+            && self.region_splits.weight(service, region) == 0
     }
 
-    /// A backend server is drained by an operator, or its VM is leaving.
-    fn is_drained(&self, address: SocketAddr) -> bool {
+    /// Returns whether a backend server is drained by an operator or runs on a
+    /// VM that accepts no new work.
+    fn is_server_drained(&self, address: SocketAddr) -> bool {
         self.drained_servers.contains(&address)
             || self
                 .vms
                 .values()
-                .any(|vm| vm.address == address.ip() && !self.takes_work(vm))
+                .any(|vm| vm.address == address.ip() && !self.accepts_work(vm))
     }
 
-    /// Regions in order of preference for a client in `region`.
+    /// All regions in order of preference for a client in `region`: this one
+    /// first, then the others in the order of the configuration.
     #[must_use]
     pub fn region_order(&self, region: Option<&RegionName>) -> Vec<RegionName> {
         let Some(config) = &self.config else {
@@ -278,8 +299,8 @@
     }
 }
 
-/// The configuration of the root object, if it is newer than `version`,
-/// complete and well-formed.
+/// Returns the version and content of the stored configuration, or `None` if it
+/// is not newer than `version`, incomplete or malformed.
 fn newer_config(objects: &VersionedMap<Bytes>, version: u64) -> Option<(u64, Config)> {
     let root: ConfigRoot = serde_json::from_slice(&objects.get(CONFIG_ROOT)?.value).ok()?;
     if root.version <= version {
--- a/crates/filbertgrade/src/version/keys.rs
+++ b/crates/filbertgrade/src/version/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of teams: secrets, digests, and the table that a request is checked
-//! against.
+//! API keys of teams: secrets, digests, and the table that requests are
+//! authenticated against.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,18 +9,18 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Start of every secret, so that a leaked one is easy to find.
+/// Prefix of every secret, so that scans find leaked ones.
 const SECRET_PREFIX: &str = "fgk_";
 
-/// Random bytes of the public id of a key.
+/// Number of random bytes in the public id of a key.
 const ID_BYTES: usize = 8;
 
-/// Random bytes of a secret.
+/// Number of random bytes in the secret part of a key.
 const SECRET_BYTES: usize = 24;
 
-/// A key as its caller shows it: `fgk_<id>_<secret>` in hexadecimal.
+/// A key as callers present it: `fgk_<id>_<secret>`, both parts in hexadecimal.
 ///
-/// It prints redacted.
+/// `Debug` prints only the id.
 #[derive(Clone, PartialEq, Eq)]
 pub struct KeySecret {
     id: String,
@@ -28,11 +28,11 @@
 }
 
 impl KeySecret {
-    /// Makes a key from the operating system's random source.
+    /// Generates a key from the operating system's random source.
     ///
     /// # Errors
     ///
-    /// Fails when the random source does.
+    /// Fails if the random source fails.
     pub fn generate() -> Result<Self, getrandom::Error> {
         let mut bytes = [0_u8; ID_BYTES + SECRET_BYTES];
         getrandom::fill(&mut bytes)?;
@@ -42,7 +42,7 @@
         Ok(Self { id, text })
     }
 
-    /// Reads a key that a caller shows; `None` when it is not well-formed.
+    /// Parses a key that a caller presents, or returns `None` if it is malformed.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (id, secret) = text.strip_prefix(SECRET_PREFIX)?.split_once('_')?;
@@ -55,19 +55,19 @@
         })
     }
 
-    /// The public id, under which the platform holds the digest.
+    /// The public id; the digest is stored under `keys/<id>`.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The whole secret, to be shown once to its owner.
+    /// The whole key in clear text, to be shown to its owner once.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.text
     }
 
-    /// What the platform holds of the key.
+    /// The digest of the whole key, the only form that is stored.
     #[must_use]
     pub fn digest(&self) -> KeyDigest {
         KeyDigest(Sha256::digest(self.text.as_bytes()).into())
@@ -80,7 +80,7 @@
     }
 }
 
-/// SHA-256 digest of a secret. Comparison takes the same time for all values.
+/// SHA-256 digest of a key, compared in constant time.
 #[derive(Clone, Copy)]
 pub struct KeyDigest([u8; 32]);
 
@@ -96,8 +96,8 @@
         if text.len() != 64 || !text.is_ascii() {
             return None;
         }
-        for (at, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).ok()?;
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok()?;
         }
         Some(Self(bytes))
     }
@@ -117,24 +117,24 @@
     }
 }
 
-/// A key as the platform holds it, under `keys/<id>`.
+/// Stored form of a key, the object `keys/<id>`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct KeyRecord {
     /// Team that the key belongs to.
     pub team: String,
-    /// Digest in hexadecimal.
+    /// Digest of the key, in hexadecimal.
     pub digest: String,
-    /// Whether the key is honoured.
+    /// Whether the key is accepted.
     pub state: KeyState,
 }
 
-/// Whether a key is honoured.
+/// Whether a key is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyState {
-    /// The key is honoured.
+    /// Requests with the key are accepted.
     Granted,
-    /// The key is refused.
+    /// Requests with the key are refused.
     Withdrawn,
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// Keys in force.
+/// The granted keys in force, by id.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     by_id: HashMap<String, Entry>,
@@ -160,8 +160,8 @@
 }
 
 impl KeyTable {
-    /// Adds a key record; withdrawn and malformed ones are left out, so they
-    /// are refused like unknown ones.
+    /// Adds a key record. Withdrawn and malformed records are left out, so
+    /// that their keys are refused like unknown ones.
     pub(crate) fn insert(&mut self, id: &str, record: &KeyRecord) {
         if record.state == KeyState::Withdrawn {
             return;
@@ -173,7 +173,8 @@
         }
     }
 
-    /// The team whose key `secret` is, if the key is in force.
+    /// Returns the team that `secret` belongs to, or `None` if the key is not
+    /// in force.
     #[must_use]
     pub fn team_of(&self, secret: &KeySecret) -> Option<&TeamName> {
         let entry = self.by_id.get(secret.id())?;
@@ -186,7 +187,7 @@
         self.by_id.len()
     }
 
-    /// No key is in force.
+    /// Returns whether no key is in force.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
--- a/crates/filbertgrade/src/version/names.rs
+++ b/crates/filbertgrade/src/version/names.rs
@@ -1,3 +1,3 @@
-//! Names of the configuration.
+//! Names that the configuration defines.
 
 pub use filbertgrade_coord::names::ServiceName;
--- a/crates/filbertgrade/src/version/shares.rs
+++ b/crates/filbertgrade/src/version/shares.rs
@@ -1,4 +1,4 @@
-//! The share table as the platform stores it.
+//! Stored form of the share table.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use filbertgrade_coord::share_table::ShareTable;
 use serde::{Deserialize, Serialize};
 
-/// Name of the share table's object.
+/// Name of the object that holds the share table.
 pub(crate) const SHARE_TABLE: &str = "shares/table";
 
 #[derive(Serialize, Deserialize)]
@@ -17,7 +17,8 @@
     units: BTreeMap<String, u32>,
 }
 
-/// Reads a stored table; `None` when it is malformed or gives out too much.
+/// Decodes a stored table, or returns `None` if it is malformed or assigns more
+/// units than there are.
 pub(crate) fn decode(value: &[u8]) -> Option<ShareTable> {
     let file: ShareTableFile = serde_json::from_slice(value).ok()?;
     let units = file
@@ -29,7 +30,7 @@
     ShareTable::new(file.version, FencingToken::new(file.token), units).ok()
 }
 
-/// The table as it is stored.
+/// Encodes the table in its stored form, JSON.
 pub(crate) fn encode(table: &ShareTable) -> Vec<u8> {
     let file = ShareTableFile {
         version: table.version(),
--- a/crates/filbertgrade/tests/agents/config.rs
+++ b/crates/filbertgrade/tests/agents/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::fleet::{Fleet, Regions, Vm};
+use crate::fleet::{Fleet, RegionLayout, Vm};
 use crate::load::serves;
 
 /// Guards against a configuration above the frame limit that reaches no entry,
@@ -10,16 +10,16 @@
 /// transfer that starts anew with every change.
 #[tokio::test(flavor = "multi_thread")]
 async fn configuration_of_several_megabytes_reaches_every_vm_while_revisions_change() {
-    let fleet = Fleet::start_proxied(3, Regions::Alternate).await;
+    let fleet = Fleet::start_proxied(3, RegionLayout::Alternate).await;
     fleet.apply().await;
     let secret = fleet.create_key("atelier").await;
     fleet
         .wait_until(Duration::from_secs(8), |vm| serves(vm, &secret))
         .await;
-    fleet.cut_from_store(&[1], true);
+    fleet.set_store_isolation(&[1], true);
     put_large_config(&fleet, 5);
     let started = std::time::Instant::now();
-    let mut waiting: Vec<_> = fleet.vms.iter().map(Vm::callers).collect();
+    let mut waiting: Vec<_> = fleet.vms.iter().map(Vm::caller_address).collect();
     while !waiting.is_empty() {
         assert!(
             started.elapsed() < Duration::from_secs(8),
--- a/crates/filbertgrade/tests/agents/load.rs
+++ b/crates/filbertgrade/tests/agents/load.rs
@@ -43,7 +43,7 @@
         for vm in &fleet.vms {
             let answers = Arc::new(Mutex::new(Vec::new()));
             load.answers.push(Arc::clone(&answers));
-            let (address, service) = (vm.callers(), service.to_owned());
+            let (address, service) = (vm.caller_address(), service.to_owned());
             let key = key.map(ToOwned::to_owned);
             let prefix = format!("{prefix}/{}", vm.name);
             load.tasks.push(tokio::spawn(async move {
--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -41,7 +41,7 @@
 use tokio::task::JoinHandle;
 
 use crate::allocation::Allocation;
-use crate::fleet::{Fleet, Regions, Vm, invoke, send};
+use crate::fleet::{Fleet, RegionLayout, Vm, invoke, send};
 use crate::load::{Load, request, runs, serves};
 
 type Failure = Box<dyn Error>;
@@ -104,9 +104,9 @@
             "fleet" => {
                 let one = value::<String>(&mut args, "regions")?.as_deref() == Some("one");
                 let regions = if one {
-                    Regions::One
+                    RegionLayout::NorthOnly
                 } else {
-                    Regions::Alternate
+                    RegionLayout::Alternate
                 };
                 let fleet = runtime.block_on(Fleet::start_proxied(first.parse()?, regions));
                 self.fleet = Some(fleet);
@@ -203,7 +203,7 @@
                 let vm: usize = value(&mut args, "vm")?.ok_or("vm is missing")?;
                 let secret = self.key(&first).secret.clone();
                 let req = request("chart", Some(&secret), "single");
-                out = match runtime.block_on(send(self.fleet().vms[vm - 1].callers(), req)) {
+                out = match runtime.block_on(send(self.fleet().vms[vm - 1].caller_address(), req)) {
                     Ok(answer) => {
                         let cause = answer.headers().get("filbertgrade-cause");
                         let cause = cause.map_or("", |cause| cause.to_str().unwrap());
@@ -246,10 +246,10 @@
             "cut" => {
                 let vms = numbers(&first)?;
                 if let Some(on) = value(&mut args, "store")? {
-                    self.fleet().cut_from_store(&vms, on);
+                    self.fleet().set_store_isolation(&vms, on);
                 }
                 if let Some(on) = value(&mut args, "peers")? {
-                    self.fleet().cut_from_peers(&vms, on);
+                    self.fleet().set_peer_isolation(&vms, on);
                 }
             }
             "store" => {
@@ -276,7 +276,7 @@
                     platform.set_vm_lag(Duration::from_millis(lag));
                 }
                 if let Some(answers) = value(&mut args, "lose_to_vms")? {
-                    self.fleet().lose_store_answers(answers);
+                    self.fleet().withhold_store_responses(answers);
                 }
             }
             "signal" => {
@@ -322,7 +322,7 @@
                     if second == "gone" {
                         fleet.platform.delete_vm(&vm.name);
                     } else {
-                        let mut listed = vm.listed.clone();
+                        let mut listed = vm.platform_entry.clone();
                         listed.state.clone_from(&second);
                         fleet.platform.put_vm(&listed);
                     }
@@ -335,7 +335,7 @@
                 let (mut parts, body) = req.into_parts();
                 parts.uri = "/v1/lookup?client=10.1.0.7".parse()?;
                 let req = http::Request::from_parts(parts, body);
-                let sent = send(self.fleet().vms[vm - 1].callers(), req);
+                let sent = send(self.fleet().vms[vm - 1].caller_address(), req);
                 let answer = runtime.block_on(sent).map_err(|e| e.to_string())?;
                 let named = format!("\"vm-{names}\"");
                 let body = String::from_utf8(answer.into_body().to_vec())?;
@@ -410,7 +410,7 @@
         let start = Instant::now();
         for (n, vm) in self.fleet().vms.iter().enumerate() {
             let probe = || async {
-                let answer = send(vm.callers(), request(word, None, "probe")).await;
+                let answer = send(vm.caller_address(), request(word, None, "probe")).await;
                 answer.is_ok_and(|answer| answer.status() == 200)
             };
             while only.is_none_or(|only| only == n + 1) && !self.runtime.block_on(probe()) {
--- a/crates/filbertgrade/tests/it/thin_path.rs
+++ b/crates/filbertgrade/tests/it/end_to_end.rs
@@ -1,4 +1,5 @@
-//! The whole path: apply, look-up, request with a key, whole answer.
+//! Test of the whole path: apply a configuration, look up a VM, send a request
+//! with a key, and check the response of the backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 
 use crate::fleet::{Fleet, send};
 
-/// Guards against a break anywhere between the operator's file and the answer
-/// of a backend server, and against a key that reaches a backend server.
+/// Guards against a failure anywhere between the operator's file and the
+/// response of a backend server, and against a key that is forwarded to one.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_with_key_reaches_a_backend_server_that_never_sees_the_key() {
+async fn request_with_key_reaches_backend_server_without_the_key() {
     let fleet = Fleet::start(4).await;
     fleet.apply().await;
     let secret = fleet.create_key("atelier").await;
@@ -21,24 +22,24 @@
         .wait_until(Duration::from_secs(8), |vm| serves(vm, &secret))
         .await;
 
-    let vms = look_up(fleet.vms[0].callers(), "10.2.0.7").await;
+    let vms = look_up(fleet.vms[0].caller_address(), "10.2.0.7").await;
     assert_eq!(vms[0]["region"], "south");
     let vm: SocketAddr = vms[0]["address"].as_str().unwrap().parse().unwrap();
-    let answer = send(vm, chart(Some(&secret), "r-1")).await.unwrap();
+    let response = send(vm, chart_request(Some(&secret), "r-1")).await.unwrap();
 
-    assert_eq!(answer.status(), StatusCode::OK);
-    assert_eq!(answer.body(), &expected_answer("r-1", b"", 2000));
+    assert_eq!(response.status(), StatusCode::OK);
+    assert_eq!(response.body(), &expected_answer("r-1", b"", 2000));
     let records: Vec<_> = fleet.backends.iter().map(BackendServer::records).collect();
     assert_eq!(records.iter().map(|r| r.ran("r-1")).sum::<u64>(), 1);
     assert_eq!(records.iter().map(|r| r.key_seen).sum::<u64>(), 0);
-    let passed: u64 = fleet.proxies.iter().map(|p| p.counts().to_server).sum();
+    let bytes_to_server: u64 = fleet.proxies.iter().map(|p| p.counts().to_server).sum();
     assert!(
-        passed > 0,
-        "the request must pass the fault-injecting proxies"
+        bytes_to_server > 0,
+        "the request must pass through the fault-injecting proxies"
     );
 }
 
-/// Guards against requests that run without a key of a team.
+/// Guards against requests that run without a valid key of a team.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_without_a_valid_key_is_refused_as_not_run() {
     let fleet = Fleet::start(2).await;
@@ -53,33 +54,36 @@
         (None, "key_missing"),
         (Some(unknown.as_str()), "key_refused"),
     ] {
-        let answer = send(fleet.vms[0].callers(), chart(key, "r-2"))
+        let response = send(fleet.vms[0].caller_address(), chart_request(key, "r-2"))
             .await
             .unwrap();
-        assert_eq!(answer.status(), StatusCode::UNAUTHORIZED);
-        assert_eq!(answer.headers()["filbertgrade-cause"], cause);
-        assert_eq!(answer.headers()["filbertgrade-outcome"], "not_run");
+        assert_eq!(response.status(), StatusCode::UNAUTHORIZED);
+        assert_eq!(response.headers()["filbertgrade-cause"], cause);
+        assert_eq!(response.headers()["filbertgrade-outcome"], "not_run");
     }
     assert!(fleet.backends.iter().all(|b| b.ran("r-2") == 0));
 }
 
+/// Returns whether the VM serves a request with this key.
 pub(crate) async fn serves(vm: SocketAddr, secret: &str) -> bool {
-    send(vm, chart(Some(secret), "probe"))
+    send(vm, chart_request(Some(secret), "probe"))
         .await
-        .is_ok_and(|answer| answer.status() == StatusCode::OK)
+        .is_ok_and(|response| response.status() == StatusCode::OK)
 }
 
+/// Returns the VMs in a lookup response for the client address.
 pub(crate) async fn look_up(vm: SocketAddr, client: &str) -> Vec<serde_json::Value> {
     let req = Request::get(format!("/v1/lookup?client={client}"))
         .header("host", "lookup")
         .body(Full::default())
         .unwrap();
-    let answer = send(vm, req).await.unwrap();
-    let answer: serde_json::Value = serde_json::from_slice(answer.body()).unwrap();
-    answer["vms"].as_array().unwrap().clone()
+    let response = send(vm, req).await.unwrap();
+    let response: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
+    response["vms"].as_array().unwrap().clone()
 }
 
-fn chart(key: Option<&str>, id: &str) -> Request<Full<Bytes>> {
+/// Builds a request to the service `chart`.
+fn chart_request(key: Option<&str>, id: &str) -> Request<Full<Bytes>> {
     let mut req = Request::get("/chart/hand?bytes=2000")
         .header("host", "chart")
         .header("x-request-id", id);
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet of real processes between in-process stand-ins.
+//! Harness: a small fleet of real processes, with in-process stand-ins for the
+//! platform, the backend servers and faulty network links.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::{Child, Command, Output, Stdio};
@@ -13,21 +14,24 @@
 use http_body_util::{BodyExt, Full};
 use hyper_util::rt::TokioIo;
 
-/// Ports of a VM that other VMs and callers connect to.
+/// Ports of a VM that other VMs and callers connect to: callers, entry peers and
+/// agent peers.
 const VM_PORTS: [u16; 3] = [7080, 7081, 7082];
 
 const BINARY: &str = env!("CARGO_BIN_EXE_filbertgrade");
 
-/// Second octets of fleets' addresses.
+/// Lowest second octet of the fleets' addresses, `127.OCTET.*.*`.
 const FIRST_OCTET: u8 = 64;
+
+/// Number of second octets available to fleets.
 const FLEET_OCTETS: u8 = 144;
 
-/// Gives each fleet of this test process a second octet of its own, so that
-/// tests that run at the same time do not share addresses.
+/// Counts the fleets of this test process. Each gets its own second octet, so
+/// that tests that run at the same time do not share addresses.
 static NEXT_FLEET: AtomicU8 = AtomicU8::new(0);
 
-/// A configuration with one service `chart` in two regions, `order` besides it
-/// and an open service `size-list`.
+/// Configuration with a service `chart` that needs a key and an open service
+/// `size-list`, both in two regions.
 const CONFIG: &str = r#"
 deployment = "test"
 [lookup]
@@ -75,67 +79,70 @@
 south = ["10.2.0.0/16"]
 "#;
 
-/// Stand-ins and processes of one test. Dropping it ends the processes.
+/// The stand-ins and processes of one test. Dropping it kills the processes.
 pub(crate) struct Fleet {
-    // Dropped first: the platform's address keeps the octet claimed until the
-    // processes have ended.
+    // Must be the first field, so that it is dropped first: the platform's
+    // address reserves the octet until the processes have ended.
     pub(crate) vms: Vec<Vm>,
-    /// Between the entries and the backend server of the same index.
+    /// Proxies between the entries and the backend server of the same index.
     pub(crate) proxies: Vec<FaultProxy>,
-    /// Between the VMs and the platform.
+    /// Proxy between the VMs and the platform, used by proxied fleets.
     pub(crate) store_proxy: FaultProxy,
     pub(crate) backends: Vec<BackendServer>,
     pub(crate) platform: PlatformServer,
     octet: u8,
-    /// Whether the platform lists the address of a proxy for each VM, so that
-    /// traffic between VMs passes it.
+    /// Whether the platform lists each VM with the address of its proxies, so
+    /// that traffic between VMs passes through them.
     proxied: bool,
-    regions: Regions,
+    regions: RegionLayout,
 }
 
-/// Where the VMs of a fleet are.
+/// Assignment of a fleet's VMs to regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Regions {
-    /// Odd VMs in `north`, even ones in `south`.
+pub(crate) enum RegionLayout {
+    /// VMs with odd numbers are in `north`, those with even numbers in `south`.
     Alternate,
-    /// All VMs in `north`.
-    One,
+    /// All VMs are in `north`.
+    NorthOnly,
 }
 
-/// One VM: its entry and its agent.
+/// One VM, with its entry and agent processes.
 pub(crate) struct Vm {
     pub(crate) name: String,
     pub(crate) address: IpAddr,
     pub(crate) entry: Child,
     pub(crate) agent: Child,
-    /// In front of the VM's ports, in the order of `VM_PORTS`, if the fleet is proxied.
+    /// Proxies in front of the VM's ports, in the order of `VM_PORTS`; empty if
+    /// the fleet is not proxied.
     pub(crate) proxies: Vec<FaultProxy>,
-    /// As the platform lists it.
-    pub(crate) listed: VmEntry,
+    /// The VM's entry in the platform's list.
+    pub(crate) platform_entry: VmEntry,
+    /// Store address that its processes are started with.
     store: SocketAddr,
 }
 
 impl Fleet {
-    /// Starts a platform, two backend servers and `vms` VMs, alternately in
-    /// the two regions.
+    /// Starts a platform, two backend servers and `vms` VMs, which alternate
+    /// between the two regions.
     pub(crate) async fn start(vms: u8) -> Self {
-        let mut fleet = Self::stand_ins(false, Regions::Alternate).await;
+        let mut fleet = Self::start_stand_ins(false, RegionLayout::Alternate).await;
         for n in 1..=vms {
             fleet.add_vm(n);
         }
         fleet
     }
 
-    /// Starts a fleet in which traffic between VMs passes proxies.
-    pub(crate) async fn start_proxied(vms: u8, regions: Regions) -> Self {
-        let mut fleet = Self::stand_ins(true, regions).await;
+    /// Starts a fleet in which traffic between VMs, and from VMs to the platform,
+    /// passes through proxies.
+    pub(crate) async fn start_proxied(vms: u8, regions: RegionLayout) -> Self {
+        let mut fleet = Self::start_stand_ins(true, regions).await;
         for n in 1..=vms {
             fleet.add_proxied_vm(n).await;
         }
         fleet
     }
 
-    async fn stand_ins(proxied: bool, regions: Regions) -> Self {
+    async fn start_stand_ins(proxied: bool, regions: RegionLayout) -> Self {
         let (octet, platform) = free_octet().await;
         let mut proxies = Vec::new();
         let mut backends = Vec::new();
@@ -165,17 +172,18 @@
         }
     }
 
-    /// Starts the processes of one VM and puts it on the platform's list.
+    /// Adds VM `n` to the platform's list and starts its processes.
     pub(crate) fn add_vm(&mut self, n: u8) {
-        let listed = self.listed(n);
-        self.platform.put_vm(&listed);
+        let platform_entry = self.platform_entry(n);
+        self.platform.put_vm(&platform_entry);
         let store = self.platform.addr();
-        self.launch(n, listed, store, Vec::new());
+        self.launch(n, platform_entry, store, Vec::new());
     }
 
-    /// Starts the processes of one VM behind proxies of its own.
+    /// Adds VM `n` to the platform's list and starts its processes, with a proxy
+    /// in front of each port.
     pub(crate) async fn add_proxied_vm(&mut self, n: u8) {
-        let listed = self.listed(n);
+        let platform_entry = self.platform_entry(n);
         let mut proxies = Vec::new();
         for port in VM_PORTS {
             let (at, to) = (
@@ -184,18 +192,19 @@
             );
             proxies.push(FaultProxy::bind(at, to).await.unwrap());
         }
-        self.platform.put_vm(&listed);
+        self.platform.put_vm(&platform_entry);
         let store = self.store_proxy.addr();
-        self.launch(n, listed, store, proxies);
+        self.launch(n, platform_entry, store, proxies);
     }
 
-    /// Address of the callers' port of a VM, also before it is added.
-    pub(crate) fn callers_of(&self, n: u8) -> SocketAddr {
+    /// Returns the address of the callers' port of VM `n`, even before it is
+    /// added.
+    pub(crate) fn caller_address_of(&self, n: u8) -> SocketAddr {
         address(self.octet, 1, n, 7080)
     }
 
-    fn listed(&self, n: u8) -> VmEntry {
-        let north = self.regions == Regions::One || n % 2 == 1;
+    fn platform_entry(&self, n: u8) -> VmEntry {
+        let north = self.regions == RegionLayout::NorthOnly || n % 2 == 1;
         let region = if north { "north" } else { "south" };
         let third = if self.proxied { 2 } else { 1 };
         VmEntry {
@@ -207,22 +216,29 @@
         }
     }
 
-    fn launch(&mut self, n: u8, listed: VmEntry, store: SocketAddr, proxies: Vec<FaultProxy>) {
+    fn launch(
+        &mut self,
+        n: u8,
+        platform_entry: VmEntry,
+        store: SocketAddr,
+        proxies: Vec<FaultProxy>,
+    ) {
         let address = address(self.octet, 1, n, 0).ip();
         self.vms.push(Vm {
-            name: listed.name.clone(),
+            name: platform_entry.name.clone(),
             address,
-            agent: spawn("agent", address, store, &listed),
-            entry: spawn("entry", address, store, &listed),
+            agent: spawn("agent", address, store, &platform_entry),
+            entry: spawn("entry", address, store, &platform_entry),
             proxies,
-            listed,
+            platform_entry,
             store,
         });
     }
 
-    /// Cuts the VMs of `cut` from the platform, or ends that.
-    pub(crate) fn cut_from_store(&self, cut: &[usize], on: bool) {
-        for &vm in cut {
+    /// Starts or ends a partition between the VMs in `isolated` and the platform:
+    /// open connections are closed, and new ones are refused.
+    pub(crate) fn set_store_isolation(&self, isolated: &[usize], on: bool) {
+        for &vm in isolated {
             let source = self.vms[vm].address;
             self.store_proxy.set_refuse_from(source, on);
             if on {
@@ -231,8 +247,9 @@
         }
     }
 
-    /// Loses the platform's answers to VMs while the calls reach it, or ends that.
-    pub(crate) fn lose_store_answers(&self, on: bool) {
+    /// Starts or stops withholding the platform's responses to VMs; their
+    /// requests still reach it.
+    pub(crate) fn withhold_store_responses(&self, on: bool) {
         let fault = Fault {
             silent: on,
             ..Fault::default()
@@ -240,15 +257,16 @@
         self.store_proxy.set_fault(Direction::ToClient, fault);
     }
 
-    /// Makes the links between the VMs of `cut` and all others silent, or ends that.
-    pub(crate) fn cut_from_peers(&self, cut: &[usize], on: bool) {
+    /// Starts or ends a partition between the VMs in `isolated` and all others:
+    /// connections stay open, but data is withheld.
+    pub(crate) fn set_peer_isolation(&self, isolated: &[usize], on: bool) {
         let fault = || Fault {
             silent: on,
             ..Fault::default()
         };
         for from in 0..self.vms.len() {
             for to in 0..self.vms.len() {
-                if cut.contains(&from) == cut.contains(&to) {
+                if isolated.contains(&from) == isolated.contains(&to) {
                     continue;
                 }
                 for proxy in &self.vms[to].proxies {
@@ -260,17 +278,17 @@
         }
     }
 
-    /// Text of the fleet's configuration.
+    /// Returns the text of the fleet's configuration.
     pub(crate) fn config(&self) -> String {
         CONFIG.replace("OCTET", &self.octet.to_string())
     }
 
-    /// Applies the fleet's configuration with the command line.
+    /// Applies the fleet's configuration with the `apply` command.
     pub(crate) async fn apply(&self) {
         self.apply_text(&self.config()).await;
     }
 
-    /// Applies a configuration with the command line.
+    /// Applies a configuration with the `apply` command.
     pub(crate) async fn apply_text(&self, text: &str) {
         let file = tempfile::NamedTempFile::new().unwrap();
         std::fs::write(file.path(), text).unwrap();
@@ -280,13 +298,14 @@
         assert!(output.starts_with("accepted as version"), "{output}");
     }
 
-    /// Creates a key with the command line and returns its secret.
+    /// Creates a key with the `key create` command and returns the whole key.
     pub(crate) async fn create_key(&self, team: &str) -> String {
         let store = self.platform.addr().to_string();
         run(&["key", "--store", &store, "create", team]).await
     }
 
-    /// Runs a command against the fleet's platform.
+    /// Runs a command with `--store` set to the fleet's platform, asserts that it
+    /// succeeds, and returns its output.
     pub(crate) async fn command(&self, args: &[&str]) -> String {
         let store = self.platform.addr().to_string();
         let mut args = args.to_vec();
@@ -294,7 +313,8 @@
         run(&args).await
     }
 
-    /// Waits until `probe` holds for every VM.
+    /// Polls `probe` with each VM's address until it has returned `true` for all;
+    /// panics if that takes longer than `within`.
     pub(crate) async fn wait_until<F, R>(&self, within: Duration, probe: F)
     where
         F: Fn(SocketAddr) -> R,
@@ -302,7 +322,7 @@
     {
         let start = Instant::now();
         for vm in &self.vms {
-            while !probe(vm.callers()).await {
+            while !probe(vm.caller_address()).await {
                 assert!(start.elapsed() < within, "{} is not ready", vm.name);
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -311,7 +331,7 @@
 }
 
 impl Vm {
-    /// Sends a signal such as `STOP` or `CONT` to the processes.
+    /// Sends a signal such as `STOP` or `CONT` to processes.
     pub(crate) fn signal(processes: &[&Child], signal: &str) {
         let ids = processes.iter().map(|child| child.id().to_string());
         let status = Command::new("kill")
@@ -324,18 +344,18 @@
 
     /// Kills the agent and starts a new one.
     pub(crate) fn restart_agent(&mut self) {
-        end(&mut self.agent);
-        self.agent = spawn("agent", self.address, self.store, &self.listed);
+        kill_and_reap(&mut self.agent);
+        self.agent = spawn("agent", self.address, self.store, &self.platform_entry);
     }
 
     /// Kills the entry and starts a new one.
     pub(crate) fn restart_entry(&mut self) {
-        end(&mut self.entry);
-        self.entry = spawn("entry", self.address, self.store, &self.listed);
+        kill_and_reap(&mut self.entry);
+        self.entry = spawn("entry", self.address, self.store, &self.platform_entry);
     }
 
-    /// Address of the callers' port.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    /// Returns the address of the callers' port.
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         SocketAddr::new(self.address, 7080)
     }
 }
@@ -343,22 +363,27 @@
 impl Drop for Vm {
     fn drop(&mut self) {
         for child in [&mut self.entry, &mut self.agent] {
-            end(child);
+            kill_and_reap(child);
         }
     }
 }
 
-fn end(child: &mut Child) {
+fn kill_and_reap(child: &mut Child) {
     let _ = child.kill();
     let _ = child.wait();
 }
 
-fn spawn(role: &str, address: IpAddr, store: SocketAddr, listed: &VmEntry) -> Child {
+fn spawn(role: &str, address: IpAddr, store: SocketAddr, platform_entry: &VmEntry) -> Child {
     Command::new(BINARY)
         .arg(role)
-        .args(["--vm", &listed.name, "--address", &address.to_string()])
-        .args(["--region", &listed.region])
-        .args(["--failure-domain", &listed.failure_domain])
+        .args([
+            "--vm",
+            &platform_entry.name,
+            "--address",
+            &address.to_string(),
+        ])
+        .args(["--region", &platform_entry.region])
+        .args(["--failure-domain", &platform_entry.failure_domain])
         .args(["--store", &store.to_string()])
         .env("RUST_LOG", "error")
         .stdin(Stdio::null())
@@ -367,7 +392,7 @@
         .unwrap()
 }
 
-/// Sends one request on a connection of its own and reads the whole answer.
+/// Sends one request on a new connection and reads the whole response.
 pub(crate) async fn send(
     address: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -383,7 +408,7 @@
     ))
 }
 
-/// Runs a command to its end, whatever it exits with.
+/// Runs a command to completion and returns its output, whatever its exit code.
 pub(crate) async fn invoke(args: &[&str]) -> Output {
     let args: Vec<String> = args.iter().map(ToString::to_string).collect();
     tokio::task::spawn_blocking(move || Command::new(BINARY).args(args).output().unwrap())
@@ -391,6 +416,7 @@
         .unwrap()
 }
 
+/// Runs a command, asserts that it succeeds, and returns its trimmed output.
 async fn run(args: &[&str]) -> String {
     let output = invoke(args).await;
     assert!(
@@ -401,8 +427,8 @@
     String::from_utf8(output.stdout).unwrap().trim().to_owned()
 }
 
-/// Finds a second octet that no other test uses, also not one of another test
-/// process on the same machine: the platform's address is the lock.
+/// Finds a second octet that no other test uses, in this or another test process
+/// on the same machine. Binding the platform's address reserves the octet.
 async fn free_octet() -> (u8, PlatformServer) {
     for _ in 0..FLEET_OCTETS {
         let start = (std::process::id() % u32::from(FLEET_OCTETS)) as u8;
--- a/crates/filbertgrade/tests/it/main.rs
+++ b/crates/filbertgrade/tests/it/main.rs
@@ -1,11 +1,11 @@
-//! Integration tests with real processes on loopback addresses.
+//! Integration tests of real processes on loopback addresses.
 
 #![expect(
     clippy::unwrap_used,
     reason = "a set-up step that fails must fail the test"
 )]
 
-#[expect(dead_code, reason = "the harness serves more than these tests")]
+mod end_to_end;
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 mod leaving;
-mod thin_path;
--- a/crates/filbertgrade/tests/moves/main.rs
+++ b/crates/filbertgrade/tests/moves/main.rs
@@ -1,4 +1,4 @@
-//! Moves of traffic between regions, and look-ups.
+//! Tests of traffic shifts between regions, and of lookup responses.
 
 #![expect(
     clippy::unwrap_used,
@@ -6,7 +6,7 @@
 )]
 
 #[path = "../it/fleet.rs"]
-#[expect(dead_code, reason = "other test targets use the rest")]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 mod lookups;
 mod moving;
--- a/crates/filbertgrade/tests/moves/view.rs
+++ b/crates/filbertgrade/tests/moves/view.rs
@@ -1,4 +1,4 @@
-//! Views made of a configuration and the objects beside it.
+//! Views built from a configuration and other stored objects, without processes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,10 +7,11 @@
 use filbertgrade::version::{CONFIG_ROOT, ConfigRoot, InForce};
 use filbertgrade_coord::versioned::{Entry, Snapshot, VersionedMap};
 
-/// Regions of the configuration, with one service `chart` in all of them.
+/// Regions of the configuration; its only service, `chart`, is in all of them.
 pub(crate) const REGIONS: [&str; 3] = ["east", "north", "south"];
 
-/// A configuration with a part of the traffic for each region.
+/// Returns a configuration text with a weight of the service for each region, and
+/// with `blocks` as the lines of its client blocks.
 pub(crate) fn config(weights: [u32; 3], blocks: &str) -> String {
     let mut text = "deployment = \"test\"\nlookup.ttl_ms = 1000\nshift.cap = 0.25\n\
         network = { store_region = \"north\", domain_latency_ms = 0.5, region_latency_ms = 20, \
@@ -31,7 +32,8 @@
         + blocks
 }
 
-/// The view of a configuration, `vms` VMs of each region, and more objects.
+/// Builds the view of a configuration, `vms` VMs in each region, and the stored
+/// objects `more`.
 pub(crate) fn view(config: &str, vms: usize, more: &[(&str, &str)]) -> InForce {
     let root = ConfigRoot {
         version: 1,
--- a/crates/filbertgrade/tests/operators/drain.rs
+++ b/crates/filbertgrade/tests/operators/drain.rs
@@ -14,7 +14,7 @@
         .header("host", "lookup")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let answer = send(fleet.vms[vm].callers(), req).await.unwrap();
+    let answer = send(fleet.vms[vm].caller_address(), req).await.unwrap();
     String::from_utf8(answer.body().to_vec()).unwrap()
 }
 
@@ -86,7 +86,7 @@
             .header("x-request-id", &id)
             .body(Full::<Bytes>::default())
             .unwrap();
-        let answer = send(fleet.vms[1].callers(), req).await.unwrap();
+        let answer = send(fleet.vms[1].caller_address(), req).await.unwrap();
         assert_eq!(answer.status(), 200);
         assert_eq!(
             (fleet.backends[0].ran(&id), fleet.backends[1].ran(&id)),
--- a/crates/filbertgrade/tests/operators/main.rs
+++ b/crates/filbertgrade/tests/operators/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the operators' side: configuration files, commands and the
-//! operator port.
+//! Tests of what operators use: configuration files, commands, settings, logs and
+//! the operator port.
 
 #![expect(
     clippy::unwrap_used,
@@ -9,10 +9,7 @@
 mod apply;
 mod config;
 mod drain;
-#[expect(
-    dead_code,
-    reason = "other test targets use the parts of the harness with proxies"
-)]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 #[path = "../it/fleet.rs"]
 mod fleet;
 mod key;
@@ -24,7 +21,7 @@
 
 use self::fleet::{Fleet, invoke};
 
-/// What a command printed and exited with.
+/// Exit code and output of a command.
 #[derive(Debug)]
 struct Ran {
     code: i32,
@@ -32,7 +29,7 @@
     err: String,
 }
 
-/// Runs a command against the fleet's store, `--store` included.
+/// Runs a command with `--store` set to the fleet's store.
 async fn run(fleet: &Fleet, args: &[&str]) -> Ran {
     let store = fleet.platform.addr().to_string();
     let (command, rest) = args.split_first().unwrap();
@@ -46,7 +43,7 @@
     }
 }
 
-/// A configuration file that lives as long as the value.
+/// A temporary configuration file, removed when the value is dropped.
 struct File(tempfile::NamedTempFile);
 
 impl File {
--- a/crates/filbertgrade/tests/path/bad_answers.rs
+++ b/crates/filbertgrade/tests/path/bad_answers.rs
@@ -42,7 +42,7 @@
         .header("authorization", format!("Bearer {secret}"))
         .body(Full::default())
         .unwrap();
-    send(fleet.vms[0].callers(), req).await.unwrap()
+    send(fleet.vms[0].caller_address(), req).await.unwrap()
 }
 
 async fn fleet_in_front_of(answers: &'static [&'static str]) -> (Fleet, String) {
--- a/crates/filbertgrade/tests/path/bad_input.rs
+++ b/crates/filbertgrade/tests/path/bad_input.rs
@@ -32,7 +32,7 @@
     let (fleet, secret) = ready_fleet(1).await;
     let ran = runs(&fleet);
     let head = head.replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
+    let answer = exchange(fleet.vms[0].caller_address(), head.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1."), "{answer}");
     assert_eq!(&answer[9..12], status, "{answer}");
     assert_eq!(runs(&fleet), ran);
@@ -48,7 +48,7 @@
                     connection: close, x-hop\r\nx-hop: KEY\r\n",
     )
     .replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), head.as_bytes()).await;
+    let answer = exchange(fleet.vms[0].caller_address(), head.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let records = fleet.backends.iter().map(BackendServer::records);
     let records: Vec<_> = records.collect();
@@ -75,7 +75,7 @@
          x-request-id: chunked\r\n{header}transfer-encoding: chunked\r\n\r\n\
          5\r\nhello\r\n0\r\n\r\n"
     );
-    let answer = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
+    let answer = exchange(fleet.vms[0].caller_address(), sent.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let records = fleet.backends.iter().map(BackendServer::records);
     let of_id = records
@@ -103,7 +103,7 @@
     let (fleet, secret) = ready_fleet(1).await;
     let start = Instant::now();
     let sent = sent.replace("KEY", &secret);
-    let answer = exchange(fleet.vms[0].callers(), sent.as_bytes()).await;
+    let answer = exchange(fleet.vms[0].caller_address(), sent.as_bytes()).await;
     assert!(start.elapsed() < SLOW_BOUND);
     assert_eq!(refusal_of(&answer), refusal, "{answer}");
     // The end of the connection takes a moment to reach the backend server.
@@ -123,7 +123,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_beyond_the_limit_are_refused() {
     let (fleet, _) = ready_fleet(1).await;
-    let callers = fleet.vms[0].callers();
+    let callers = fleet.vms[0].caller_address();
     let mut open = Vec::new();
     for _ in 0..4100 {
         open.push(TcpStream::connect(callers).await.unwrap());
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -19,7 +19,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_under_load_cuts_no_request() {
     let (mut fleet, secret) = ready_fleet(2).await;
-    let vm = fleet.vms[0].callers();
+    let vm = fleet.vms[0].caller_address();
     let expired = Arc::new(AtomicBool::new(false));
     let mut callers = Vec::new();
     for n in 0..6 {
--- a/crates/filbertgrade/tests/path/http2.rs
+++ b/crates/filbertgrade/tests/path/http2.rs
@@ -17,7 +17,7 @@
     let (fleet, secret) = ready_fleet(1).await;
     let mut callers = Vec::new();
     for caller in 0..4 {
-        let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+        let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
             .await
             .unwrap();
         let (sender, connection) =
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answer_reaches_nobody_else() {
     let (fleet, secret) = ready_fleet(1).await;
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
@@ -98,7 +98,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn oversized_headers_end_their_stream_only() {
     let (fleet, secret) = ready_fleet(1).await;
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -41,7 +41,7 @@
 async fn what_callers_are_told_is_true(#[values(1, 2, 3)] seed: u64) {
     let (fleet, secret) = ready_fleet(2).await;
     let until = Instant::now() + RUN;
-    let vms = [fleet.vms[0].callers(), fleet.vms[1].callers()];
+    let vms = [fleet.vms[0].caller_address(), fleet.vms[1].caller_address()];
     let callers: Vec<_> = (0..CALLERS)
         .map(|n| tokio::spawn(call(vms, secret.clone(), seed * 100 + n, until)))
         .collect();
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -144,7 +144,7 @@
             }
             "connect" => {
                 let n: usize = first().parse()?;
-                let callers = self.fleet.vms[n - 1].callers();
+                let callers = self.fleet.vms[n - 1].caller_address();
                 let mut stream = std::net::TcpStream::connect(callers)?;
                 stream.write_all(b"GET /v1/lookup HTTP/1.1\r\nhost: x\r\n\r\n")?;
                 stream.read_exact(&mut [0])?;
@@ -191,7 +191,7 @@
             .unwrap_or("64")
             .parse()?;
         Ok(Sending {
-            vm: self.fleet.vms[vm - 1].callers(),
+            vm: self.fleet.vms[vm - 1].caller_address(),
             expected: expected_answer(id, &body, size),
             req: req.body(Full::new(body))?,
         })
@@ -325,7 +325,7 @@
             .body(Full::default())?;
         let answer = self
             .runtime
-            .block_on(send(self.fleet.vms[n - 1].callers(), req))
+            .block_on(send(self.fleet.vms[n - 1].caller_address(), req))
             .map_err(|e| e.to_string())?;
         let answer: serde_json::Value = serde_json::from_slice(answer.body())?;
         let vms = answer["vms"].as_array().ok_or("no VMs")?;
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -46,7 +46,7 @@
     let req = request(&secret, "/chart/big?bytes=100000000", "big")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -74,7 +74,7 @@
         .header("x-deadline-ms", "800")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -132,7 +132,7 @@
                 .header("idempotency-key", &id)
                 .body(Full::from("leather"))
                 .unwrap();
-            send(fleet.vms[n % 2].callers(), req)
+            send(fleet.vms[n % 2].caller_address(), req)
         });
         let answers = futures::future::join_all(attempts).await;
         let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
@@ -165,7 +165,7 @@
             body.map(|part| part.map(Frame::data)).boxed(),
         ))
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
--- a/crates/filbertgrade/tests/shares/main.rs
+++ b/crates/filbertgrade/tests/shares/main.rs
@@ -1,4 +1,5 @@
-//! Rate, burst and slots under failure, measured by callers and backend servers.
+//! Tests that rate and burst limits hold during failures, as measured by callers
+//! and backend servers.
 
 #![expect(
     clippy::unwrap_used,
@@ -6,7 +7,7 @@
 )]
 
 #[path = "../it/fleet.rs"]
-#[expect(dead_code, reason = "the harness serves more than these tests")]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 
 mod rate;
--- a/crates/filbertgrade/tests/shares/rate.rs
+++ b/crates/filbertgrade/tests/shares/rate.rs
@@ -1,17 +1,17 @@
-//! No team gets more than its rate and burst, whatever fails, and a team
-//! within its rate loses at most the part of the VMs that are lost.
+//! Tests of two properties during failures: no team exceeds its rate and burst,
+//! and a team within its rate loses at most the shares of the VMs that are lost.
 
 use std::time::Duration;
 
 use filbertgrade_standins::caller::Route;
 
 use crate::fleet::Vm;
-use crate::scene::{Scene, VMS, part_of_a_vm};
+use crate::scene::{Scene, VMS, requests_of_one_share};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Guards against tokens that loans create, and against shares of idle VMs
-/// that do not reach the VMs with the load.
+/// Guards against loans that create tokens, and against idle VMs whose shares are
+/// not lent to the VMs under load.
 #[tokio::test(flavor = "multi_thread")]
 async fn healthy_fleet_keeps_rate_and_burst() {
     let scene = Scene::start(false).await;
@@ -20,10 +20,11 @@
     scene.check(&report, 0.0);
 }
 
-/// Guards against a VM that wakes and spends loans or a base that others use
-/// by then. The frozen VM takes half of the load, so that it holds loans.
+/// Guards against a VM that resumes after a freeze and spends loans, or a base
+/// share, that other VMs use by then. The frozen VM gets half of the load, so
+/// that it holds loans.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_vm_spends_nothing_stale_when_it_wakes() {
+async fn frozen_vm_spends_no_expired_loans_or_shares_after_it_resumes() {
     let scene = Scene::start(false).await;
     let frozen = &scene.fleet.vms[1];
     let load = scene.load(scene.route(&[0, 1]), 12 * SECOND).run();
@@ -33,18 +34,18 @@
     tokio::time::sleep(4 * SECOND).await;
     Vm::signal(&[&frozen.entry, &frozen.agent], "CONT");
     let report = load.await.unwrap();
-    // Lenders take back the loans of the frozen VM 2.5 s after its last ask.
-    scene.check(&report, part_of_a_vm(4 * SECOND + LOAN_RECLAIM));
+    // Lenders reclaim the loans of the frozen VM 2.5 s after its last loan request.
+    scene.check(&report, requests_of_one_share(4 * SECOND + LOAN_RECLAIM));
 }
 
-/// Longest time after which a loan of a VM that is gone is back at its lender:
-/// lease and margin of `LedgerConfig`.
+/// Longest time after which a loan to a VM that is gone is back at its lender:
+/// the loan lease plus margin of `LedgerConfig`.
 const LOAN_RECLAIM: Duration = Duration::from_millis(2_500);
 
-/// Guards against units that the other VMs get while the killed VM's loans
-/// still run, and against units that they never get.
+/// Guards against units of a killed VM that are reassigned while its loans may
+/// still be in use, and against units that are never reassigned.
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_vm_loses_only_its_own_part() {
+async fn killed_vm_costs_only_its_own_share() {
     let mut scene = Scene::start(false).await;
     let load = scene.load(scene.route(&[0, 1]), 15 * SECOND).run();
     let load = tokio::spawn(load);
@@ -55,15 +56,20 @@
     tokio::time::sleep(SECOND).await;
     scene.fleet.platform.delete_vm("vm-4");
     let report = load.await.unwrap();
-    // Until 10 s after the list shows it, the killed VM's part is lost, which
-    // leaves 2 s of the load.
-    scene.check(&report, part_of_a_vm(12 * SECOND));
-    assert_eq!(scene.holders(), 3, "the hold-off of 10 s is over");
+    // The killed VM's share is lost until 10 s after the VM is removed from the
+    // list. The last 2 s of the load run with the units reassigned.
+    scene.check(&report, requests_of_one_share(12 * SECOND));
+    assert_eq!(
+        scene.vms_with_share(),
+        3,
+        "the killed VM's units must be reassigned after the hold-off of 10 s"
+    );
 }
 
-/// Guards against admission that stops, or loses its bound, without the store.
+/// Guards against admission that stops, or exceeds rate and burst, while the store
+/// is down.
 #[tokio::test(flavor = "multi_thread")]
-async fn store_outage_changes_nothing() {
+async fn store_outage_does_not_affect_admission() {
     let scene = Scene::start(false).await;
     scene.fleet.platform.set_down(true);
     let load = scene.load(scene.route(&[0, 1]), 9 * SECOND);
@@ -71,55 +77,61 @@
     scene.check(&report, 0.0);
 }
 
-/// Guards against shares that count twice, or for nobody, while VMs come and
-/// go one by one.
+/// Guards against shares that are used by two VMs, or by none, while VMs are
+/// replaced one by one.
 #[tokio::test(flavor = "multi_thread")]
 async fn rolling_replacement_keeps_rate_and_burst() {
     let mut scene = Scene::start(false).await;
     let duration = Duration::from_secs(16);
-    let asked = (1..=2 * VMS).map(|n| scene.fleet.callers_of(n)).collect();
-    let load = scene.load(Route::Lookup(asked), duration).run();
+    let lookup_vms = (1..=2 * VMS)
+        .map(|n| scene.fleet.caller_address_of(n))
+        .collect();
+    let load = scene.load(Route::Lookup(lookup_vms), duration).run();
     let load = tokio::spawn(load);
     tokio::time::sleep(SECOND / 4).await;
     scene.fleet.add_vm(VMS + 1);
     tokio::time::sleep(SECOND).await;
     for old in 0..VMS {
-        // The next VM starts while the old one leaves, to save time.
+        // The next VM already starts while the old one leaves, to keep the test
+        // short.
         if old + 1 < VMS {
             scene.fleet.add_vm(VMS + 2 + old);
         }
-        let began = std::time::Instant::now();
+        let leaving_since = std::time::Instant::now();
         let vm = &scene.fleet.vms[usize::from(old)];
-        let mut leaving = vm.listed.clone();
+        let mut leaving = vm.platform_entry.clone();
         leaving.state = "leaving".to_owned();
         scene.fleet.platform.put_vm(&leaving);
         Vm::signal(&[&vm.entry], "TERM");
-        // The platform takes a VM off its list when its process has ended.
+        // The platform removes a VM from its list once its process has ended.
         let vm = &mut scene.fleet.vms[usize::from(old)];
         while vm.entry.try_wait().unwrap().is_none() {
             tokio::time::sleep(SECOND / 50).await;
         }
-        println!("vm-{} left after {:?}", old + 1, began.elapsed());
+        println!("vm-{} left after {:?}", old + 1, leaving_since.elapsed());
         Vm::signal(&[&vm.agent], "TERM");
         scene.fleet.platform.delete_vm(&leaving.name);
     }
-    assert!(!load.is_finished(), "the load must cover all replacements");
+    assert!(
+        !load.is_finished(),
+        "the load must last until all VMs are replaced"
+    );
     let report = load.await.unwrap();
-    // A planned replacement may cost at most one VM's part at any time.
-    scene.check(&report, part_of_a_vm(duration));
+    // A planned replacement may cost at most the share of one VM at any time.
+    scene.check(&report, requests_of_one_share(duration));
 }
 
-/// Guards against a VM that lends and spends the same part when it cannot
-/// tell its peers, and against loans that outlive the cut.
+/// Guards against a VM that spends the same share that it has lent when it cannot
+/// reach its peers, and against loans that stay in use after the partition.
 #[tokio::test(flavor = "multi_thread")]
-async fn vm_cut_off_from_its_peers_keeps_rate_and_burst() {
+async fn vm_isolated_from_its_peers_keeps_rate_and_burst() {
     let scene = Scene::start(true).await;
     let load = scene.load(scene.route(&[0, 1]), 12 * SECOND).run();
     let load = tokio::spawn(load);
     tokio::time::sleep(2 * SECOND).await;
-    scene.fleet.cut_from_peers(&[1], true);
+    scene.fleet.set_peer_isolation(&[1], true);
     tokio::time::sleep(5 * SECOND).await;
-    scene.fleet.cut_from_peers(&[1], false);
+    scene.fleet.set_peer_isolation(&[1], false);
     let report = load.await.unwrap();
-    scene.check(&report, part_of_a_vm(5 * SECOND + LOAN_RECLAIM));
+    scene.check(&report, requests_of_one_share(5 * SECOND + LOAN_RECLAIM));
 }
--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/scene.rs
@@ -1,4 +1,5 @@
-//! A fleet with one team far over its rate and one within it.
+//! Test set-up: a fleet under load from one team far over its rate and one team
+//! within its rate.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,17 +12,17 @@
 use http::Request;
 use http_body_util::Full;
 
-use crate::fleet::{Fleet, Regions, send};
+use crate::fleet::{Fleet, RegionLayout, send};
 
 /// Deadline of each request.
 const DEADLINE: Duration = Duration::from_millis(500);
 
 /// Longest time from the admission of a request to its arrival at a backend
-/// server. The entry counts `x-deadline-ms` from the arrival of the request,
+/// server. The entry counts `x-deadline-ms` from when it receives the request,
 /// takes the token after that, and starts no attempt later than
 /// `MIN_DEADLINE` before the deadline (`take_slot` and `request_for` in
-/// `entry/carry.rs`). An admission is therefore observed late by less than
-/// the deadline, and never early.
+/// `entry/carry.rs`). Admissions are therefore observed late by less than the
+/// deadline, and never early.
 const JITTER: Duration = DEADLINE;
 
 /// The team that sends five times its rate.
@@ -39,10 +40,10 @@
 const GREEDY_LOAD: f64 = 5.0 * GREEDY.rate;
 const STEADY_LOAD: f64 = 0.8 * STEADY.rate;
 
-/// VMs of the fleet at the start.
+/// Number of VMs of the fleet at the start.
 pub(crate) const VMS: u8 = 4;
 
-/// A fleet whose share table is in effect, and the keys of its two teams.
+/// A fleet whose share table is in effect, with the keys of its two teams.
 pub(crate) struct Scene {
     pub(crate) fleet: Fleet,
     greedy: Key,
@@ -50,10 +51,11 @@
 }
 
 impl Scene {
-    /// Starts the fleet in one region and waits until every VM has its share.
+    /// Starts the fleet and waits until every VM has its share. A proxied fleet is
+    /// in a single region.
     pub(crate) async fn start(proxied: bool) -> Self {
         let fleet = if proxied {
-            Fleet::start_proxied(VMS, Regions::One).await
+            Fleet::start_proxied(VMS, RegionLayout::NorthOnly).await
         } else {
             Fleet::start(VMS).await
         };
@@ -77,21 +79,21 @@
         scene
     }
 
-    /// Waits until the share table gives as many VMs a share.
+    /// Waits until exactly `vms` VMs have units in the share table.
     async fn wait_for_shares(&self, vms: usize) {
         let start = Instant::now();
-        while self.holders() != vms {
+        while self.vms_with_share() != vms {
             assert!(
                 start.elapsed() < Duration::from_secs(8),
                 "{} of {vms} VMs have a share",
-                self.holders()
+                self.vms_with_share()
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// VMs with units in the share table.
-    pub(crate) fn holders(&self) -> usize {
+    /// Returns the number of VMs with units in the share table.
+    pub(crate) fn vms_with_share(&self) -> usize {
         let Some((_, table)) = self.fleet.platform.get("shares/table") else {
             return 0;
         };
@@ -100,12 +102,16 @@
         units.values().filter(|n| n.as_u64() > Some(0)).count()
     }
 
-    /// Addresses of some of the VMs, which count from 0.
+    /// Returns a route to the VMs with these indices, counted from 0.
     pub(crate) fn route(&self, vms: &[usize]) -> Route {
-        Route::Vms(vms.iter().map(|vm| self.fleet.vms[*vm].callers()).collect())
+        Route::Vms(
+            vms.iter()
+                .map(|vm| self.fleet.vms[*vm].caller_address())
+                .collect(),
+        )
     }
 
-    /// The load of both teams.
+    /// Returns the load of both teams on `route`.
     pub(crate) fn load(&self, route: Route, duration: Duration) -> Load {
         let team = |name: &str, key: &Key, rate, limit| TeamLoad {
             key: Some(key.clone()),
@@ -123,15 +129,15 @@
         })
     }
 
-    /// Checks what must hold in every case, and that the team within its rate
-    /// was refused at most `refusals` requests within its rate.
-    pub(crate) fn check(&self, report: &LoadReport, refusals: f64) {
+    /// Asserts the properties that hold in every scenario, and that at most
+    /// `allowed_refusals` requests of the team within its rate were refused.
+    pub(crate) fn check(&self, report: &LoadReport, allowed_refusals: f64) {
         let backends = &self.fleet.backends;
         let records: Vec<_> = backends.iter().map(BackendServer::records).collect();
         let joined = report.join(&records, JITTER);
         let (greedy, steady) = (&report.teams["atelier"], &report.teams["outfitter"]);
         println!(
-            "allowed refusals {refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
+            "allowed refusals {allowed_refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
              greedy served {} of {}, refused {:?}, within rate {}; {joined:?}",
             steady.refused_within_rate,
             steady.refused,
@@ -150,23 +156,25 @@
         assert_eq!(joined.key_seen_by_backend, 0, "{joined:?}");
         assert!(steady.served > 0 && greedy.served > 0);
         assert!(
-            steady.refused_within_rate as f64 <= refusals,
-            "{} requests refused within the rate, at most {refusals} are due to lost VMs",
+            steady.refused_within_rate as f64 <= allowed_refusals,
+            "{} requests within the rate were refused, but lost VMs explain at most {allowed_refusals}",
             steady.refused_within_rate
         );
     }
 }
 
-/// What one VM's base share of the team within its rate admits in `time`,
-/// with a full burst at the beginning.
-pub(crate) fn part_of_a_vm(time: Duration) -> f64 {
+/// Returns the number of requests that one VM's base share of the team within its
+/// rate admits in `time`, starting with a full burst.
+pub(crate) fn requests_of_one_share(time: Duration) -> f64 {
     (STEADY.burst + STEADY.rate * time.as_secs_f64()) / f64::from(VMS)
 }
 
+/// Formats a limit as the lines of a team's table.
 fn limit_text(limit: Limit) -> String {
     format!("rate = {}\nburst = {}", limit.rate, limit.burst)
 }
 
+/// Returns whether the VM serves a request with this key.
 async fn serves(vm: SocketAddr, secret: String) -> bool {
     let req = Request::get("/chart/probe")
         .header("host", "chart")
