--- a/crates/filbertgrade/tests/it/leaving.rs
+++ b/crates/filbertgrade/tests/it/leaving.rs
@@ -4,8 +4,8 @@
 
 use filbertgrade_standins::caller::{Key, Kind, Load, LoadConfig, Route, TeamLoad};
 
-use crate::end_to_end::{look_up, serves};
 use crate::fleet::{Fleet, Vm};
+use crate::request_path::{look_up, serves};
 
 /// Longest time after which a drained backend server or leaving VM must get no
 /// new work, as the requirements state.
--- a/crates/filbertgrade/tests/it/main.rs
+++ b/crates/filbertgrade/tests/it/main.rs
@@ -5,7 +5,7 @@
     reason = "a set-up step that fails must fail the test"
 )]
 
-mod end_to_end;
 #[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 mod leaving;
+mod request_path;
--- a/crates/filbertgrade/tests/operators/apply.rs
+++ b/crates/filbertgrade/tests/operators/apply.rs
@@ -1,19 +1,21 @@
-//! `apply` and `diff` against the platform stand-in and real processes.
+//! Tests of the commands `apply` and `diff`, with a stand-in for the platform and
+//! with real processes.
 
 use std::time::Duration;
 
 use crate::fleet::Fleet;
 use crate::{File, run};
 
+/// Returns the stored root of the configuration.
 fn root(fleet: &Fleet) -> serde_json::Value {
     let (_, value) = fleet.platform.get("config/root").unwrap();
     serde_json::from_slice(&value).unwrap()
 }
 
-/// Guards against two operators of whom each believes to have won, and
-/// against a mixture of both files.
+/// Guards against concurrent applies that are all reported as accepted, and against
+/// a stored configuration that mixes several files.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_wins_and_the_other_learns_the_version() {
+async fn of_concurrent_applies_one_is_accepted_and_the_others_report_its_version() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
     let files: Vec<File> = (5..9)
@@ -22,7 +24,8 @@
             File::new(&fleet.config().replace("slots = 4", &slots))
         })
         .collect();
-    // Every call takes long enough for all operators to read the same root.
+    // Each call takes so long that all operators read the same root before one
+    // of them writes.
     fleet.platform.set_delay(Duration::from_millis(300));
     let runs = files
         .iter()
@@ -30,25 +33,25 @@
     let ran = futures::future::join_all(runs).await;
     fleet.platform.set_delay(Duration::ZERO);
 
-    let winners: Vec<usize> = (0..4).filter(|n| ran[*n].code == 0).collect();
-    assert_eq!(winners.len(), 1, "{ran:?}");
-    assert_eq!(ran[winners[0]].out, "accepted as version 2\n");
-    for loser in (0..4).filter(|n| *n != winners[0]) {
-        assert_eq!(ran[loser].code, 4, "{ran:?}");
-        assert!(ran[loser].err.contains("version 2 was accepted first"));
+    let accepted: Vec<usize> = (0..4).filter(|n| ran[*n].code == 0).collect();
+    assert_eq!(accepted.len(), 1, "{ran:?}");
+    assert_eq!(ran[accepted[0]].out, "accepted as version 2\n");
+    for rejected in (0..4).filter(|n| *n != accepted[0]) {
+        assert_eq!(ran[rejected].code, 4, "{ran:?}");
+        assert!(ran[rejected].err.contains("version 2 was accepted first"));
     }
-    let diff = run(&fleet, &["diff", files[winners[0]].path()]).await;
+    let diff = run(&fleet, &["diff", files[accepted[0]].path()]).await;
     assert_eq!(diff.out, "no differences from version 2\n");
 }
 
 /// Guards against an apply that is reported as failed although it took effect.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_resolved_by_the_apply_id() {
+async fn lost_store_response_is_resolved_by_the_apply_id() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
     let file = File::new(&fleet.config().replace("slots = 4", "slots = 5"));
-    // Four answers: one for the changed part, its repetition included, and
-    // more than one for the root.
+    // Loses four responses: those to the write of the changed part and its
+    // retry, and more than one for the root.
     fleet.platform.lose_next_answers(4);
     let ran = run(&fleet, &["apply", file.path()]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
@@ -60,13 +63,14 @@
     fleet.platform.lose_next_answers(0);
 }
 
-/// Guards against a false conflict when the root was replaced between the
-/// write and the read that looks for its outcome.
+/// Guards against a conflict that is reported wrongly when another apply replaces
+/// the root between the write and the read that checks its outcome.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_resolved_after_a_later_apply_replaced_the_root() {
+async fn lost_store_response_is_resolved_after_another_apply_replaced_the_root() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
-    // The part's text is in the store already, so only the root is written.
+    // The parts of the first text are already in the store, so only the root is
+    // written.
     let first = fleet.config();
     let second = first.replace("slots = 4", "slots = 5");
     let (first, second) = (File::new(&first), File::new(&second));
@@ -79,7 +83,7 @@
         while store.revision() < revision + 1 || root(&fleet)["version"] != 3 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        // Another operator's apply, which keeps the ids before it.
+        // Another operator's apply, which keeps the earlier apply ids.
         let mut next = root(&fleet);
         next["version"] = 4.into();
         next["apply_id"] = "another".into();
@@ -98,7 +102,7 @@
 
 /// Guards against a root that grows with every apply.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_root_names_the_last_sixteen_applies() {
+async fn root_lists_only_the_last_sixteen_applies() {
     let fleet = Fleet::start(0).await;
     for slots in 1..=18 {
         let slots = format!("slots = {slots}");
@@ -112,10 +116,11 @@
     assert_eq!(recent[0]["version"], 3);
 }
 
-/// Guards against an outage that is reported as an unknown outcome or as a
-/// success, and against writes without need.
+/// Guards against an outage before any write that is reported as a success or an
+/// unknown outcome, and against writes for files that change nothing or are
+/// rejected.
 #[tokio::test(flavor = "multi_thread")]
-async fn faulty_unchanged_and_refused_files_write_nothing() {
+async fn faulty_unchanged_and_rejected_files_write_nothing() {
     let fleet = Fleet::start(2).await;
     let file = File::new(&fleet.config());
     fleet.platform.set_down(true);
@@ -162,10 +167,10 @@
     assert_eq!(fleet.platform.counts().writes, writes);
 }
 
-/// Guards against a wait that ends before the version is in force, or that
-/// does not say which VM is missing.
+/// Guards against `--wait` that ends before the version is in force on every VM, or
+/// does not name the VMs that it still waits for.
 #[tokio::test(flavor = "multi_thread")]
-async fn wait_returns_when_every_live_vm_has_the_version_and_names_the_others() {
+async fn wait_returns_when_every_live_vm_has_the_version_or_names_the_missing_vms() {
     let mut fleet = Fleet::start(3).await;
     let whole = fleet.config();
     let (first, second) = whole.split_once("[teams.atelier]").unwrap();
@@ -178,7 +183,7 @@
         "{ran:?}"
     );
 
-    // The agent still answers; only its entry is gone.
+    // Only the entry is killed; the agent still responds.
     let _ = fleet.vms[1].entry.kill();
     let next = File::new(&whole.replace("slots = 4", "slots = 5"));
     let args = ["apply", "--wait", "--wait-limit-ms", "3000", next.path()];
@@ -208,12 +213,14 @@
     );
 }
 
-/// Guards against parts of former configurations that pile up in the memory
-/// of every agent, and against a part removed that another apply relies on.
+/// Guards against parts of earlier configurations that accumulate in the memory of
+/// every agent, and against the removal of a part that another apply relies on.
 #[tokio::test(flavor = "multi_thread")]
-async fn parts_that_no_root_names_are_removed() {
+async fn parts_that_the_root_does_not_list_are_removed() {
     let fleet = Fleet::start(0).await;
-    fleet.platform.put("config/part/left-by-a-loser", "x");
+    fleet
+        .platform
+        .put("config/part/left-by-a-rejected-apply", "x");
     let texts: Vec<File> = [4, 5, 6, 5]
         .iter()
         .map(|slots| {
@@ -237,21 +244,26 @@
     };
     assert_eq!(fleet.platform.names("config/part/"), parts(root(&fleet)));
 
-    // Applies that alternate while others clean up never lose a part.
+    // Concurrent applies, which also remove parts, never remove a part that the
+    // root lists.
     for _ in 0..5 {
         let runs = texts
             .iter()
             .map(async |file| run(&fleet, &["apply", file.path()]).await);
         futures::future::join_all(runs).await;
-        let held = fleet.platform.names("config/part/");
-        let named = parts(root(&fleet));
-        assert!(named.iter().all(|part| held.contains(part)), "{held:?}");
+        let stored = fleet.platform.names("config/part/");
+        let listed = parts(root(&fleet));
+        assert!(
+            listed.iter().all(|part| stored.contains(part)),
+            "{stored:?}"
+        );
     }
 }
 
-/// Guards against a winner that is read from a replica that lags.
+/// Guards against a conflict that reports an outdated version, read from a lagging
+/// replica, as the one that was accepted first.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_conflict_names_the_winner_although_reads_lag() {
+async fn conflict_reports_the_accepted_version_although_reads_are_stale() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
     let file = |slots: u8| {
@@ -260,7 +272,8 @@
     };
     let (second, third) = (file(5), file(6));
     assert_eq!(run(&fleet, &["apply", second.path()]).await.code, 0);
-    // Reads show version 1; they catch up while the loser looks for the winner.
+    // Reads return version 1 at first. They catch up while the rejected apply
+    // reads which version was accepted.
     let (root_revision, _) = fleet.platform.get("config/root").unwrap();
     let behind = fleet.platform.revision() - root_revision + 1;
     fleet.platform.set_stale_reads(behind);
--- a/crates/filbertgrade/tests/operators/config.rs
+++ b/crates/filbertgrade/tests/operators/config.rs
@@ -1,4 +1,5 @@
-//! Checks of configuration files, from the cases in `config_cases.txt`.
+//! Tests of configuration files: faults from the cases in `config_cases.txt`,
+//! canonical text, changes, and robustness against arbitrary input.
 
 use std::path::Path;
 
@@ -8,18 +9,23 @@
 const BASE: &str = include_str!("base.toml");
 const CASES: &str = include_str!("config_cases.txt");
 
+/// One case of `config_cases.txt`.
 #[derive(Default)]
 struct Case {
     name: String,
+    /// Lines of the base file to replace, each with its new lines; `None` appends
+    /// to the file.
     edits: Vec<(Option<String>, Vec<String>)>,
+    /// Text of the second file; empty if there is none.
     second: String,
+    /// Expected faults, in order.
     faults: Vec<String>,
 }
 
-/// Guards against faults that are missed, reported in another place, or hidden
-/// by other faults of the same file.
+/// Guards against faults that are missed, reported at a wrong location, or hidden by
+/// other faults in the same file.
 #[test]
-fn every_fault_of_a_case_is_reported_and_no_other() {
+fn exactly_the_faults_of_each_case_are_reported() {
     let cases = cases();
     assert!(cases.len() > 15);
     for case in cases {
@@ -34,8 +40,8 @@
     }
 }
 
-/// Guards against an applied configuration that differs from its file, since
-/// the store holds the canonical text.
+/// Guards against an applied configuration that differs from its file. The store
+/// contains the canonical text, not the file.
 #[test]
 fn canonical_text_parses_to_the_same_configuration() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
@@ -56,7 +62,7 @@
     }
 }
 
-/// Guards against differences that an operator cannot locate in the file.
+/// Guards against differences that operators cannot find in their file.
 #[test]
 fn changes_are_listed_by_key_path() {
     let from = Config::parse(BASE).unwrap();
@@ -80,15 +86,16 @@
 }
 
 proptest! {
-    /// Guards against input that panics the parser.
+    /// Guards against text that makes the parser panic.
     #[test]
-    fn no_text_panics_the_parser(text in any::<String>()) {
+    fn parser_does_not_panic_on_arbitrary_text(text in any::<String>()) {
         let _ = Config::parse(&text);
     }
 
-    /// Guards against input near a valid file that panics the parser.
+    /// Guards against almost valid files that make the parser panic, or whose
+    /// canonical text parses differently.
     #[test]
-    fn no_damaged_file_panics_the_parser(
+    fn parser_does_not_panic_on_a_corrupted_valid_file(
         at in 0..BASE.len(),
         len in 0_usize..40,
         patch in "[\\[\\]{}=\"'.a-z0-9_#\n\u{e9}-]{0,12}",
@@ -101,6 +108,7 @@
     }
 }
 
+/// Parses `config_cases.txt`.
 fn cases() -> Vec<Case> {
     let mut cases: Vec<Case> = Vec::new();
     for line in CASES.lines().filter(|line| !line.is_empty()) {
@@ -132,6 +140,7 @@
     cases
 }
 
+/// Returns the base file with the edits of a case.
 fn edited(case: &Case) -> String {
     let mut lines: Vec<String> = BASE.lines().map(str::to_owned).collect();
     for (line, new) in &case.edits {
--- a/crates/filbertgrade/tests/operators/drain.rs
+++ b/crates/filbertgrade/tests/operators/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` against real processes.
+//! Tests of the command `drain` with real processes.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::fleet::{Fleet, send};
 use crate::run;
 
-async fn first_vms(fleet: &Fleet, vm: usize) -> String {
+/// Returns a VM's lookup response for a client in the south, as text.
+async fn lookup_response(fleet: &Fleet, vm: usize) -> String {
     let req = Request::get("/v1/lookup?client=10.2.0.7")
         .header("host", "lookup")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let answer = send(fleet.vms[vm].caller_address(), req).await.unwrap();
-    String::from_utf8(answer.body().to_vec()).unwrap()
+    let response = send(fleet.vms[vm].caller_address(), req).await.unwrap();
+    String::from_utf8(response.body().to_vec()).unwrap()
 }
 
-/// Guards against a drain that is reported as in force while a VM still names
-/// the drained one, and against drains of things that do not exist.
+/// Guards against a drain that is reported as in force while lookup responses still
+/// name the drained VM, and against drains of VMs or regions that do not exist.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_returns_when_it_is_in_force_and_undo_ends_it() {
     let fleet = Fleet::start(2).await;
@@ -30,12 +31,12 @@
     let ran = run(&fleet, &["drain", "vm", "vm-2"]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
     assert_eq!(ran.out, "drain of vm vm-2 is in force on 2 VMs\n");
-    assert!(!first_vms(&fleet, 0).await.contains("vm-2"));
+    assert!(!lookup_response(&fleet, 0).await.contains("vm-2"));
 
     fleet.platform.lose_next_answers(1);
     let ran = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
-    assert!(first_vms(&fleet, 0).await.contains("vm-2"));
+    assert!(lookup_response(&fleet, 0).await.contains("vm-2"));
     let ran = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
     assert_eq!(ran.out, "vm vm-2 was not drained\n");
 
@@ -50,8 +51,8 @@
     assert_eq!(names, expected);
 }
 
-/// Guards against a drain that is reported as in force without a VM, which may
-/// go on sending requests.
+/// Guards against a drain that is reported as in force although a VM has not
+/// confirmed it and may still send requests to what is drained.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_names_the_vms_that_do_not_confirm() {
     let mut fleet = Fleet::start(2).await;
@@ -64,18 +65,21 @@
     assert_eq!(fleet.platform.names("drains/"), ["drains/vm/vm-1"]);
 }
 
-/// Guards against a drained region that still gets look-ups or requests after
-/// its traffic has moved. The cap of the fleet allows the move in one step,
-/// which the allocator publishes after the drain is in force.
+/// Guards against a drained region that is still named in lookup responses or gets
+/// requests after its traffic has moved. The fleet's shift cap allows the move in
+/// one step, which the allocator publishes once the drain is in force.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drained_region_gets_no_new_work() {
+async fn drained_region_gets_no_new_work() {
     let fleet = Fleet::start(2).await;
     fleet.apply().await;
     assert_eq!(run(&fleet, &["drain", "region", "south"]).await.code, 0);
     let start = std::time::Instant::now();
     for vm in 0..2 {
-        while first_vms(&fleet, vm).await.contains("vm-2") {
-            assert!(start.elapsed() < Duration::from_secs(5), "still named");
+        while lookup_response(&fleet, vm).await.contains("vm-2") {
+            assert!(
+                start.elapsed() < Duration::from_secs(5),
+                "lookup responses still name vm-2"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -86,8 +90,8 @@
             .header("x-request-id", &id)
             .body(Full::<Bytes>::default())
             .unwrap();
-        let answer = send(fleet.vms[1].caller_address(), req).await.unwrap();
-        assert_eq!(answer.status(), 200);
+        let response = send(fleet.vms[1].caller_address(), req).await.unwrap();
+        assert_eq!(response.status(), 200);
         assert_eq!(
             (fleet.backends[0].ran(&id), fleet.backends[1].ran(&id)),
             (1, 0)
@@ -95,24 +99,24 @@
     }
 }
 
-/// Guards against an unanswered write that a command reports as without
-/// effect or waits for without end.
+/// Guards against a write without a response that the command reports as having had
+/// no effect, or waits for indefinitely.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_goes_silent_leaves_the_outcome_unknown() {
+async fn store_that_stops_responding_leaves_the_outcome_unknown() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
     let start = std::time::Instant::now();
-    let silent = async {
+    let stop_responding = async {
         fleet.platform.lose_next_answers(u64::MAX);
         while fleet.platform.names("drains/").is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         fleet.platform.set_down(true);
     };
-    // Delays give the test time to change the store between two calls.
+    // The delay gives the test time to take the store down between two calls.
     fleet.platform.set_delay(Duration::from_millis(200));
     let args = ["drain", "region", "south"];
-    let (ran, ()) = tokio::join!(run(&fleet, &args), silent);
+    let (ran, ()) = tokio::join!(run(&fleet, &args), stop_responding);
     assert_eq!(ran.code, 7, "{ran:?}");
     assert!(start.elapsed() < Duration::from_secs(20));
 }
--- a/crates/filbertgrade/tests/operators/key.rs
+++ b/crates/filbertgrade/tests/operators/key.rs
@@ -1,12 +1,13 @@
-//! `key` against the platform stand-in and real processes.
+//! Tests of the command `key`, with a stand-in for the platform and with real
+//! processes.
 
 use crate::fleet::Fleet;
 use crate::run;
 
-/// Guards against secrets in the store, keys for teams that do not exist, and
-/// keys that are lost with the store's answer.
+/// Guards against secrets in the store, keys for teams that do not exist, and keys
+/// that are never shown because the store's response is lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn create_stores_a_digest_only_and_survives_a_lost_answer() {
+async fn create_stores_only_a_digest_and_succeeds_after_a_lost_store_response() {
     let fleet = Fleet::start(0).await;
     let ran = run(&fleet, &["key", "create", "atelier"]).await;
     assert_eq!(ran.code, 5, "{ran:?}");
@@ -30,10 +31,10 @@
     assert_eq!(list.out, format!("{id} team=atelier state=granted\n"));
 }
 
-/// Guards against a withdrawal that is reported as accepted while a region
-/// may still honour the key.
+/// Guards against a withdrawal that is reported as accepted while a region may
+/// still accept the key.
 #[tokio::test(flavor = "multi_thread")]
-async fn withdraw_is_accepted_only_when_every_region_confirms() {
+async fn withdrawal_is_accepted_only_when_every_region_has_confirmed_it() {
     let mut fleet = Fleet::start(3).await;
     fleet.apply().await;
     let (first, second) = (
@@ -61,7 +62,7 @@
             .contains("withdrawn")
     );
 
-    // One VM of the other region is enough for it.
+    // For the other region, the confirmation of one of its VMs is enough.
     fleet.platform.delete_vm("vm-2");
     let _ = fleet.vms[2].agent.kill();
     let ran = run(&fleet, &args).await;
--- a/crates/filbertgrade/tests/operators/operator.rs
+++ b/crates/filbertgrade/tests/operators/operator.rs
@@ -1,4 +1,5 @@
-//! The operator ports of real processes, `dump`, and log lines.
+//! Tests of the operator ports of real processes, the command `dump`, and the
+//! format of log lines.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -13,9 +14,14 @@
 use crate::fleet::{Fleet, invoke, send};
 use crate::run;
 
+/// Operator port of entries.
 const ENTRY: u16 = 7083;
+
+/// Operator port of agents.
 const AGENT: u16 = 7084;
 
+/// Sends a request to an operator port, and returns status and body of the
+/// response; the status is 0 if there is none.
 async fn get(fleet: &Fleet, vm: usize, port: u16, path: &str) -> (u16, String) {
     let address = SocketAddr::new(fleet.vms[vm].address, port);
     let req = Request::get(path)
@@ -23,14 +29,16 @@
         .body(Full::<Bytes>::default())
         .unwrap();
     match send(address, req).await {
-        Ok(answer) => {
-            let body = String::from_utf8(answer.body().to_vec()).unwrap();
-            (answer.status().as_u16(), body)
+        Ok(response) => {
+            let body = String::from_utf8(response.body().to_vec()).unwrap();
+            (response.status().as_u16(), body)
         }
         Err(_) => (0, String::new()),
     }
 }
 
+/// Polls an operator port of the first VM until a response has `status`, and
+/// returns its body.
 async fn wait_for(fleet: &Fleet, port: u16, path: &str, status: u16) -> String {
     let start = Instant::now();
     loop {
@@ -43,7 +51,7 @@
     }
 }
 
-/// Guards against an entry that counts as ready without a configuration or
+/// Guards against an entry that reports itself ready without a configuration, or
 /// with state that is no longer valid.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_is_ready_only_with_a_configuration_and_valid_state() {
@@ -61,9 +69,9 @@
     assert_eq!(get(&fleet, 0, ENTRY, "/health").await.0, 200);
 }
 
-/// Guards against work that is sent to an entry which has begun to stop.
+/// Guards against requests that are sent to an entry which has started to stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_entry_is_not_ready() {
+async fn leaving_entry_is_not_ready() {
     let fleet = Fleet::start(1).await;
     fleet.apply().await;
     wait_for(&fleet, ENTRY, "/ready", 200).await;
@@ -74,10 +82,10 @@
     assert_eq!(cause, "the process is leaving\n");
 }
 
-/// Guards against metrics and dumps that are missing, and against digests or
-/// secrets in them.
+/// Guards against values missing from dumps and metrics, and against secrets or
+/// digests in them.
 #[tokio::test(flavor = "multi_thread")]
-async fn dump_and_metrics_show_the_state_without_keys() {
+async fn dump_and_metrics_show_the_state_without_secrets_or_digests() {
     let fleet = Fleet::start(2).await;
     fleet.apply().await;
     let secret = fleet.create_key("atelier").await;
@@ -106,7 +114,7 @@
     assert_eq!(entry["in_force"]["keys"], 1);
     assert_eq!(entry["process"]["vm"], "vm-1");
     let mut agent: serde_json::Value = serde_json::from_str(&agent).unwrap();
-    // The other region is heard with the first pull from its VM.
+    // The summary of the other region arrives with the first pull from its VM.
     let start = Instant::now();
     while agent["regions"].as_array().unwrap().len() < 2 {
         assert!(start.elapsed() < Duration::from_secs(5), "{agent}");
@@ -125,9 +133,10 @@
     assert_eq!(get(&fleet, 0, ENTRY, "/other").await.0, 404);
 }
 
-/// Guards against a command that hangs on a port that accepts and is silent.
+/// Guards against commands that hang when a port accepts connections but never
+/// responds.
 #[tokio::test(flavor = "multi_thread")]
-async fn dump_of_a_silent_port_ends_in_time() {
+async fn commands_time_out_on_a_port_that_does_not_respond() {
     let fleet = Fleet::start(0).await;
     fleet.platform.set_unresponsive(true);
     let start = Instant::now();
@@ -138,10 +147,10 @@
     assert_eq!(ran.code, 6, "{ran:?}");
 }
 
-/// Guards against values that end early or split a line for its reader.
+/// Guards against log values that a reader would take for several values or lines.
 #[test]
-fn log_values_are_quoted_when_they_must_be() {
-    for (value, written) in [
+fn log_values_are_quoted_when_necessary() {
+    for (value, expected) in [
         ("vm-1", "vm-1"),
         ("127.0.0.1:7080", "127.0.0.1:7080"),
         ("", "\"\""),
@@ -152,14 +161,14 @@
         ("one\ntwo\tthree\u{1b}", "\"one\\ntwo\\tthree\\u{1b}\""),
         ("caf\u{e9}", "caf\u{e9}"),
     ] {
-        assert_eq!(logfmt::value(value).to_string(), written);
+        assert_eq!(logfmt::value(value).to_string(), expected);
     }
 }
 
-/// Guards against errors whose text breaks the line that reports them. The
-/// errors of the platform client quote the object's name.
+/// Guards against error texts that make a log line unparsable. The errors of the
+/// platform client contain the quoted name of an object.
 #[test]
-fn every_log_line_of_an_agent_without_a_store_can_be_read() {
+fn every_log_line_of_an_agent_without_a_store_is_parsable() {
     let address = format!("127.60.{}.9", std::process::id() % 200 + 1);
     let mut agent = Command::new(env!("CARGO_BIN_EXE_filbertgrade"))
         .args(["agent", "--vm", "vm-1", "--address", &address])
@@ -178,13 +187,13 @@
     agent.stdout.unwrap().read_to_string(&mut log).unwrap();
     assert!(log.contains("event=watch_failed"), "{log}");
     for line in log.lines() {
-        assert!(is_readable(line), "{line}");
+        assert!(is_parsable(line), "{line}");
     }
 }
 
-/// A line is `key=value` pairs; a quoted value ends at the next quote that is
-/// not escaped.
-fn is_readable(line: &str) -> bool {
+/// Returns whether a line consists of `key=value` pairs separated by spaces. A
+/// quoted value ends at the next quote that is not escaped.
+fn is_parsable(line: &str) -> bool {
     let mut rest = line;
     while !rest.is_empty() {
         let Some((key, value)) = rest.split_once('=') else {
--- a/crates/filbertgrade/tests/operators/platform.rs
+++ b/crates/filbertgrade/tests/operators/platform.rs
@@ -1,4 +1,4 @@
-//! The platform client against stand-ins.
+//! Tests of the platform client against stand-ins.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Guards against values that a watch would give back changed: the platform
-/// carries them as JSON strings.
+/// Guards against values that a watch would return altered, since the platform
+/// sends values as JSON strings.
 #[tokio::test]
-async fn a_value_that_is_not_utf8_is_refused_with_a_typed_error() {
+async fn value_that_is_not_utf8_is_rejected_with_a_typed_error() {
     let server = PlatformServer::bind(loopback()).await.unwrap();
     let client = HttpPlatform::new(server.addr(), None);
     let value = Bytes::from_static(&[b'a', 0xff]);
@@ -29,7 +29,7 @@
     assert!(error.is_not_utf8(), "{error}");
 }
 
-/// Guards against a removal whose revision nobody learns.
+/// Guards against a removal whose revision the client cannot report.
 #[tokio::test]
 async fn delete_returns_the_revision_of_the_removal() {
     let server = PlatformServer::bind(loopback()).await.unwrap();
@@ -38,9 +38,9 @@
     assert_eq!(client.delete("drains/x", at).await.unwrap(), at + 1);
 }
 
-/// Guards against an answer that takes all memory of a VM.
+/// Guards against a response that exhausts the memory of a VM.
 #[tokio::test]
-async fn an_answer_over_the_limit_is_cut_off() {
+async fn response_above_the_size_limit_is_rejected() {
     let listener = tokio::net::TcpListener::bind(loopback()).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
--- a/crates/filbertgrade/tests/operators/settings.rs
+++ b/crates/filbertgrade/tests/operators/settings.rs
@@ -1,13 +1,14 @@
-//! Settings of the daemons and commands.
+//! Tests of the settings of daemons and commands.
 
 use filbertgrade::process::settings::{CommandFlags, CommandSettings, NodeFlags, NodeSettings};
 
+/// Returns the value of a flag or variable that is set.
 fn set(text: &str) -> Option<String> {
     Some(text.to_owned())
 }
 
-/// Guards against a daemon that starts with faulty settings, or reports only
-/// the first of them.
+/// Guards against a daemon that starts with faulty settings, or reports only the
+/// first fault.
 #[test]
 fn every_fault_of_the_settings_is_reported() {
     let flags = NodeFlags {
@@ -36,9 +37,9 @@
     }
 }
 
-/// Guards against environment variables that commands do not read.
+/// Guards against commands that ignore environment variables.
 #[test]
-fn commands_take_settings_from_the_environment() {
+fn commands_read_settings_from_the_environment() {
     let env = |name: &str| match name {
         "FILBERTGRADE_STORE" => set("127.0.0.1:6000"),
         "FILBERTGRADE_WAIT_LIMIT_MS" => set("10"),
