--- a/crates/filbertgrade-coord/src/freshness.rs
+++ b/crates/filbertgrade-coord/src/freshness.rs
@@ -116,19 +116,20 @@
 }
 
 impl FreshnessTracker {
-    /// Creates a tracker without evidence for an agent in `region`, with the
+    /// Creates a tracker without evidence for an agent in `own_region`, with the
     /// maximum age [`MAX_EVIDENCE_AGE`].
-    pub fn new(region: RegionName) -> Self {
-        Self::with_max_age(region, MAX_EVIDENCE_AGE)
+    pub fn new(own_region: RegionName) -> Self {
+        Self::with_max_age(own_region, MAX_EVIDENCE_AGE)
     }
 
-    /// Creates a tracker that uses evidence up to the age `max_age`.
+    /// Creates a tracker for an agent in `own_region` that uses evidence up to the
+    /// age `max_age`.
     ///
     /// If it is shorter than a few pull rounds, healthy VMs become isolated. If
     /// it is long, withdrawn keys work for that long.
-    pub fn with_max_age(region: RegionName, max_age: Duration) -> Self {
+    pub fn with_max_age(own_region: RegionName, max_age: Duration) -> Self {
         Self {
-            own_region: region,
+            own_region,
             max_age,
             regions: BTreeMap::new(),
             held_confirmed_at: None,
--- a/crates/filbertgrade-coord/src/lease.rs
+++ b/crates/filbertgrade-coord/src/lease.rs
@@ -208,7 +208,9 @@
         self.observed = Some(ObservedRecord { stored, since: now });
     }
 
-    /// Decides what to do next. The caller must send a returned write at `now`.
+    /// Decides what to do next.
+    ///
+    /// A returned write is regarded as sent at `now`, so it is to be sent at once.
     pub fn next_action(&mut self, now: Instant) -> LeaseAction {
         if self.pending.is_some() {
             return LeaseAction::Read;
@@ -239,11 +241,11 @@
             // A waiting candidate has to read regularly to see renewals. Without
             // these reads, the lease of a crashed holder is not taken over for up
             // to twice `takeover_after`.
-            let read_at = self.read_at.unwrap_or(observed.since) + self.config.renew_interval;
-            if read_at <= now {
+            let next_read_at = self.read_at.unwrap_or(observed.since) + self.config.renew_interval;
+            if next_read_at <= now {
                 return LeaseAction::Read;
             }
-            let until = takeover_at.min(read_at);
+            let until = takeover_at.min(next_read_at);
             return LeaseAction::Wait { until };
         }
         self.prepare_write(now, Some(revision), FencingToken(token.0 + 1))
@@ -288,7 +290,8 @@
         self.observed = None;
     }
 
-    /// Returns the write of a record for this candidate, and notes it as pending.
+    /// Returns a write that acquires or renews the lease for this candidate, and
+    /// records it as pending.
     fn prepare_write(
         &mut self,
         now: Instant,
@@ -308,7 +311,7 @@
         LeaseAction::Write { expected, record }
     }
 
-    /// Holds the lease by a write that took effect.
+    /// Marks the lease as held after `write` took effect.
     ///
     /// The validity is counted from the send time, because the write may have
     /// taken effect as early as that.
--- a/crates/filbertgrade-coord/src/versioned.rs
+++ b/crates/filbertgrade-coord/src/versioned.rs
@@ -1,41 +1,44 @@
-//! A map from names to values that follows a store's revisions and never moves backward.
+//! A copy of a store's objects whose revision never decreases, and the deltas and
+//! snapshots that bring one copy up to date from another.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A copy of a store's objects as of one revision.
+/// A map from object names to values, which is a copy of a store as of one
+/// revision.
 ///
-/// The map also keeps a bounded log of changes, removals included, so that it
-/// can bring other copies up to date.
+/// The map also keeps a bounded log of the latest changes, including removals,
+/// so that other copies can be brought up to date from it.
 #[derive(Clone, Debug)]
 pub struct VersionedMap<V> {
-    /// The store revision that the map represents.
+    /// The store revision of this copy.
     revision: u64,
     /// Invariant: no entry has a revision above `revision`.
     entries: BTreeMap<Arc<str>, Entry<V>>,
-    /// Changes in order of revision, all above `log_floor`. A name that is
-    /// logged and absent from `entries` was removed.
+    /// Revision and name of each change, in order of revision, all above
+    /// `log_floor`. A name in the log that is absent from `entries` was removed.
     log: VecDeque<(u64, Arc<str>)>,
-    /// The log is complete for every revision above this one.
+    /// The log contains all changes above this revision.
     log_floor: u64,
+    /// Maximum number of changes in the log.
     log_limit: usize,
 }
 
-/// A value with the revision that wrote it.
+/// A value and the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry<V> {
-    /// The revision of the write.
+    /// The store revision of the write.
     pub revision: u64,
-    /// The value.
+    /// The value that was written.
     pub value: V,
 }
 
-/// One write or removal.
+/// A write or removal of one object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change<V> {
     /// The object's name.
     pub name: Arc<str>,
-    /// The revision of the write or removal.
+    /// The store revision of the write or removal.
     pub revision: u64,
     /// The new value, or `None` for a removal.
     pub value: Option<V>,
@@ -44,52 +47,56 @@
 /// All changes above revision `from` up to and including revision `to`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delta<V> {
-    /// The revision that the changes start from.
+    /// The revision that a copy must have reached for the changes to be complete.
     pub from: u64,
-    /// The revision that the changes lead to.
+    /// The revision of the copy after the changes.
     pub to: u64,
-    /// At most the newest change of each name is needed, in order of revision.
+    /// The changes in order of revision. Earlier changes of a name that is
+    /// changed again may be left out.
     pub changes: Vec<Change<V>>,
 }
 
 /// All objects as of one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot<V> {
-    /// The revision that the snapshot represents.
+    /// The store revision of the snapshot.
     pub revision: u64,
-    /// Every object; names that are absent do not exist at this revision.
+    /// Every object that exists at this revision.
     pub entries: Vec<(Arc<str>, Entry<V>)>,
 }
 
-/// What applying a delta or snapshot did.
+/// The outcome of applying a delta or snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// The map moved forward. The names were written or removed.
+    /// The map now has a higher revision. The objects with these names were
+    /// written or removed.
     Advanced(Vec<Arc<str>>),
-    /// The map was at this revision or above, and did not change.
+    /// The map already had this revision or a higher one, and did not change.
     Stale,
-    /// The delta starts above the map's revision, and the map did not change.
-    /// Ask again with this revision.
+    /// The delta starts above the map's revision, so changes in between are
+    /// missing. The map did not change.
     Gap {
-        /// The map's own revision.
+        /// The map's revision, from which a new delta is to be requested.
         have: u64,
     },
 }
 
-/// What brings a copy at some revision up to date.
+/// What a copy needs to be brought up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CatchUp<V> {
-    /// The copy is at the map's revision or above.
+    /// Nothing, because the copy has the map's revision or a higher one.
     UpToDate,
-    /// The changes that are missing.
+    /// The changes that the copy lacks.
     Delta(Delta<V>),
-    /// The log does not reach back that far; send [`VersionedMap::snapshot`].
+    /// A [`VersionedMap::snapshot`], because the log does not reach back to the
+    /// copy's revision.
     SnapshotNeeded,
 }
 
-/// The error of a delta or snapshot that contradicts itself.
+/// The error returned for a delta or snapshot with a change whose revision is
+/// outside the range of the delta or snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("object {name:?} has revision {revision}, outside {from} to {to}")]
+#[error("revision {revision} of object {name:?} is not above {from} and at most {to}")]
 pub struct MalformedUpdateError {
     name: Arc<str>,
     revision: u64,
@@ -100,8 +107,9 @@
 impl<V: Clone> VersionedMap<V> {
     /// Creates an empty map at revision 0.
     ///
-    /// `log_limit` is the number of changes kept. With 0, every copy that is
-    /// behind needs a snapshot; a high number costs one name per change.
+    /// `log_limit` is the maximum number of changes in the log. With 0, every
+    /// copy that is behind needs a snapshot. Each change in the log takes the
+    /// memory of a revision and a reference to a name.
     pub fn new(log_limit: usize) -> Self {
         Self {
             revision: 0,
@@ -112,12 +120,13 @@
         }
     }
 
-    /// The store revision that the map represents.
+    /// Returns the store revision of this copy.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Returns the entry of a name.
+    /// Returns the entry of the object `name`, or `None` if there is no such
+    /// object.
     pub fn get(&self, name: &str) -> Option<&Entry<V>> {
         self.entries.get(name)
     }
@@ -127,7 +136,7 @@
         self.entries.iter()
     }
 
-    /// Iterates over the entries whose names start with `prefix`.
+    /// Iterates over the entries whose names start with `prefix`, in order of name.
     pub fn prefix<'a>(
         &'a self,
         prefix: &'a str,
@@ -140,7 +149,7 @@
             .take_while(move |(name, _)| name.starts_with(prefix))
     }
 
-    /// Number of objects.
+    /// Returns the number of objects.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -152,12 +161,13 @@
 
     /// Applies the changes that are above the map's revision.
     ///
-    /// A delta without changes moves the revision alone. Overlapping deltas
-    /// are fine: what the map already has is skipped.
+    /// A delta without changes only raises the revision. Deltas may overlap:
+    /// changes that the map already has are skipped.
     ///
     /// # Errors
     ///
-    /// Fails without effect if a change is outside the delta's revisions.
+    /// Returns an error, and leaves the map unchanged, if the revision of a change
+    /// is outside the delta's range.
     pub fn apply_delta(&mut self, delta: Delta<V>) -> Result<ApplyOutcome, MalformedUpdateError> {
         for change in &delta.changes {
             if change.revision <= delta.from || change.revision > delta.to {
@@ -205,11 +215,12 @@
 
     /// Replaces the whole map if the snapshot is newer.
     ///
-    /// The log then starts at the snapshot's revision.
+    /// The log is empty afterwards, and starts at the snapshot's revision.
     ///
     /// # Errors
     ///
-    /// Fails without effect if an entry is newer than the snapshot itself.
+    /// Returns an error, and leaves the map unchanged, if an entry is newer than
+    /// the snapshot itself.
     pub fn apply_snapshot(
         &mut self,
         snapshot: Snapshot<V>,
@@ -241,7 +252,7 @@
         Ok(ApplyOutcome::Advanced(names.into_iter().collect()))
     }
 
-    /// What a copy at `revision` needs to reach this map's revision.
+    /// Returns what a copy at `revision` needs to reach this map's revision.
     pub fn catch_up_from(&self, revision: u64) -> CatchUp<V> {
         if revision >= self.revision {
             return CatchUp::UpToDate;
@@ -249,7 +260,7 @@
         if revision < self.log_floor {
             return CatchUp::SnapshotNeeded;
         }
-        // Only the newest change of each name matters to the copy.
+        // The copy needs only the newest change of each name.
         let mut newest: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
         for (at, name) in self.log.iter().rev().take_while(|(at, _)| *at > revision) {
             newest.entry(name).or_insert(*at);
@@ -270,7 +281,7 @@
         })
     }
 
-    /// All objects at the map's revision.
+    /// Returns all objects at the map's revision.
     pub fn snapshot(&self) -> Snapshot<V> {
         Snapshot {
             revision: self.revision,
@@ -282,6 +293,7 @@
         }
     }
 
+    /// Removes the oldest changes above the log's limit.
     fn trim_log(&mut self) {
         while self.log.len() > self.log_limit {
             if let Some((revision, _)) = self.log.pop_front() {
--- a/crates/filbertgrade-coord/tests/state.rs
+++ b/crates/filbertgrade-coord/tests/state.rs
@@ -1,4 +1,4 @@
-//! Tests of the versioned map, freshness and the lease.
+//! Tests of the versioned map, the freshness tracker and the lease.
 
 #![expect(clippy::unwrap_used, reason = "a failed unwrap fails the test")]
 
@@ -28,9 +28,10 @@
     }
 }
 
-// Guards against a map that goes backward, skips a revision, or takes nonsense.
+// Guards against a map whose revision decreases, that skips revisions, or that
+// accepts changes outside the range of their delta or snapshot.
 #[test]
-fn versioned_map_never_goes_backward() {
+fn versioned_map_rejects_stale_incomplete_and_malformed_updates() {
     let mut map = VersionedMap::new(10);
     let gap = map.apply_delta(delta(3, 5, &[("a", 4, Some(1))]));
     assert_eq!(gap, Ok(ApplyOutcome::Gap { have: 0 }));
@@ -47,7 +48,7 @@
         entries: vec![],
     };
     assert_eq!(map.apply_snapshot(old), Ok(ApplyOutcome::Stale));
-    // An overlapping delta must not bring back the older value of a name.
+    // An overlapping delta must not restore an older value of a name.
     let overlap = delta(1, 7, &[("a", 2, Some(8)), ("b", 7, None)]);
     assert!(
         matches!(map.apply_delta(overlap), Ok(ApplyOutcome::Advanced(names)) if names.len() == 1)
@@ -62,11 +63,11 @@
         revision: 9,
         value: 1,
     };
-    let bad = Snapshot {
+    let malformed = Snapshot {
         revision: 8,
         entries: vec![(Arc::from("a"), entry)],
     };
-    assert!(map.apply_snapshot(bad).is_err());
+    assert!(map.apply_snapshot(malformed).is_err());
     assert_eq!(map.revision(), 7);
 }
 
@@ -86,16 +87,17 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
-    // Guards against a copy that differs from its source after any mix of
-    // deltas and snapshots, removals included, and against a log without bound.
+    // Guards against a copy that differs from its source after deltas and
+    // snapshots in any order, with removals, and against a log that grows beyond
+    // its limit.
     #[test]
-    fn a_copy_equals_its_source(
+    fn copy_equals_source_after_deltas_and_snapshots(
         writes in proptest::collection::vec((0..6u8, 0..4u32, 0..4u8), 1..80),
         log_limit in 0..12usize,
     ) {
         let mut source = VersionedMap::new(log_limit);
         let mut copy = VersionedMap::new(log_limit);
-        // Follows the copy, whose log may start at a snapshot.
+        // A copy of the copy, whose log may start at a snapshot.
         let mut second = VersionedMap::new(log_limit);
         let mut model = BTreeMap::new();
         for (name, value, pull) in writes {
@@ -126,13 +128,16 @@
     RegionName::try_from(name).unwrap()
 }
 
-/// What an agent of region `a` that holds revision 5 concludes 20 s after the
-/// start, in milliseconds since the start.
-fn conclude(note: impl FnOnce(&mut FreshnessTracker, &dyn Fn(u64) -> Instant)) -> String {
+/// Returns the freshness, 20 s after the start, of an agent of region `a` that
+/// holds revision 5 and gets the evidence of `record`. The regions `a`, `b` and
+/// `c` have live VMs. Times are in milliseconds since the start.
+fn freshness_at_20_s(
+    record: impl FnOnce(&mut FreshnessTracker, &dyn Fn(u64) -> Instant),
+) -> String {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let mut tracker = FreshnessTracker::new(region("a"));
-    note(&mut tracker, &at);
+    record(&mut tracker, &at);
     let live = BTreeSet::from(["a", "b", "c"].map(region));
     match tracker.freshness(at(20_000), 5, &live, false) {
         Freshness::Fresh { until } => format!("fresh {}", until.duration_since(start).as_millis()),
@@ -142,119 +147,131 @@
         Freshness::Isolated(IsolationCause::Behind) => "behind".to_owned(),
         Freshness::Isolated(
             IsolationCause::RegionUnreachable | IsolationCause::PeersUnreachable,
-        ) => "silent".to_owned(),
+        ) => "unreachable".to_owned(),
         Freshness::Isolated(IsolationCause::Empty) => "empty".to_owned(),
     }
 }
 
-/// Evidence from region: (name, confirmed at and revision, heard at, revision).
-type Word = (&'static str, Option<(u64, u64)>, u64, u64);
+/// Evidence from an agent of a region: region, time and revision of its store
+/// confirmation, time of its reply, and the revision that it holds. Times are in
+/// milliseconds since the start.
+type RegionReport = (&'static str, Option<(u64, u64)>, u64, u64);
 
-// Guards against keys that work for longer than 5 s after their withdrawal,
-// and against refusals while nothing can have changed.
+// Guards against keys that work for longer than 5 s after their withdrawal, and
+// against requests that are refused although the state cannot have changed.
 #[rstest]
 #[case::own_confirmation(&[("a", Some((18_000, 5)), 18_000, 5)], "fresh 23000")]
-#[case::at_the_bound(&[("a", Some((15_000, 5)), 15_000, 5)], "fresh 20000")]
-#[case::other_region(&[("b", Some((19_000, 5)), 19_000, 5)], "fresh 24000")]
-#[case::replica_behind(&[("b", Some((19_000, 4)), 19_000, 4)], "behind")]
-#[case::replica_behind_after_confirmation(
+#[case::confirmation_at_the_age_limit(&[("a", Some((15_000, 5)), 15_000, 5)], "fresh 20000")]
+#[case::confirmation_by_other_region(&[("b", Some((19_000, 5)), 19_000, 5)], "fresh 24000")]
+#[case::confirmation_of_older_revision(&[("b", Some((19_000, 4)), 19_000, 4)], "behind")]
+#[case::older_revision_after_confirmation(
     &[("b", Some((18_000, 5)), 18_000, 5), ("b", Some((19_000, 4)), 19_000, 4)], "fresh 23000")]
-#[case::too_old(&[("a", Some((14_999, 5)), 14_999, 5)], "silent")]
-#[case::outage(&[("a", Some((9_000, 5)), 9_000, 5), ("b", None, 16_000, 5), ("c", None, 19_000, 4)],
+#[case::confirmation_too_old(&[("a", Some((14_999, 5)), 14_999, 5)], "unreachable")]
+#[case::store_outage(&[("a", Some((9_000, 5)), 9_000, 5), ("b", None, 16_000, 5), ("c", None, 19_000, 4)],
     "outage 21000")]
-#[case::outage_before_the_bound(
+#[case::store_outage_before_confirmation_expires(
     &[("a", Some((15_200, 5)), 15_200, 5), ("b", None, 16_000, 5), ("c", None, 19_000, 5)],
     "outage 21000")]
-#[case::one_silent(&[("b", None, 16_000, 5), ("c", None, 14_000, 5)], "silent")]
-#[case::newer_held_elsewhere(&[("b", None, 19_000, 6), ("c", None, 19_000, 5)], "behind")]
-#[case::newer_confirmed(&[("b", Some((19_000, 6)), 19_000, 6), ("c", None, 19_000, 5)], "behind")]
-#[case::nothing(&[], "silent")]
-fn freshness_follows_the_evidence(#[case] words: &[Word], #[case] expected: &str) {
-    let direct = conclude(|tracker, at| {
-        for &(name, confirmed, heard, revision) in words {
+#[case::region_unreachable(&[("b", None, 16_000, 5), ("c", None, 14_000, 5)], "unreachable")]
+#[case::newer_revision_held_elsewhere(&[("b", None, 19_000, 6), ("c", None, 19_000, 5)], "behind")]
+#[case::newer_revision_confirmed(&[("b", Some((19_000, 6)), 19_000, 6), ("c", None, 19_000, 5)], "behind")]
+#[case::no_evidence(&[], "unreachable")]
+fn freshness_depends_on_evidence_of_all_regions(
+    #[case] reports: &[RegionReport],
+    #[case] expected: &str,
+) {
+    let direct = freshness_at_20_s(|tracker, at| {
+        for &(name, confirmed, replied_at, revision) in reports {
             let mut other = FreshnessTracker::new(region(name));
             if let Some((millis, revision)) = confirmed {
                 other.record_confirmation(at(millis), revision);
             }
-            other.record_reply(at(heard), &region(name), revision);
-            // The own region counts as heard whenever it reports, so the
-            // report is dated back to its word.
-            let sent_at = at(heard);
+            other.record_reply(at(replied_at), &region(name), revision);
+            // A report always shows the sender's own region as received just
+            // now, so its ages are taken at the time of the reply.
+            let sent_at = at(replied_at);
             tracker.record_ages(sent_at, &other.ages(sent_at, revision));
         }
     });
     assert_eq!(direct, expected);
 }
 
-// Guards against evidence that grows younger on its way through other agents.
+// Guards against evidence that looks newer after it was relayed by other agents.
 #[test]
-fn relayed_evidence_is_never_younger_than_its_source() {
-    let passed_on = conclude(|tracker, at| {
+fn relayed_evidence_never_looks_newer() {
+    let relayed = freshness_at_20_s(|tracker, at| {
         let mut first = FreshnessTracker::new(region("b"));
         first.record_confirmation(at(16_700), 5);
         let mut second = FreshnessTracker::new(region("c"));
-        // The reply takes 300 ms, and its ages count from the send time.
+        // The reply takes 300 ms, and its ages are subtracted from the send time
+        // of the request.
         second.record_ages(at(17_000), &first.ages(at(17_300), 5));
         tracker.record_ages(at(18_000), &second.ages(at(18_300), 5));
     });
-    // 16.7 s less two delays of 300 ms, plus 5 s.
-    assert_eq!(passed_on, "fresh 21100");
+    // 16.7 s, less two delays of 300 ms, plus the maximum age of 5 s.
+    assert_eq!(relayed, "fresh 21100");
 }
 
-// Guards against refusals while newer state is on its way, and against a VM
-// that vouches for state without evidence or takes a cut for an outage.
+// Guards against requests that are refused while newer state is being fetched,
+// against state that is regarded as valid without evidence, and against a network
+// cut that is mistaken for an outage of the store.
 #[test]
-fn what_a_confirmation_proved_stays_true_and_nothing_else_counts() {
+fn freshness_needs_a_confirmation_of_the_held_revision_or_a_store_outage() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let own = BTreeSet::from([region("a")]);
     let mut tracker = FreshnessTracker::new(region("a"));
-    let state = |tracker: &FreshnessTracker, millis, held, alone| {
-        tracker.freshness(at(millis), held, &own, alone)
+    let freshness = |tracker: &FreshnessTracker, millis, held, only_vm| {
+        tracker.freshness(at(millis), held, &own, only_vm)
     };
     assert_eq!(
-        state(&tracker, 0, 0, true),
+        freshness(&tracker, 0, 0, true),
         Freshness::Isolated(IsolationCause::Empty)
     );
     tracker.record_confirmation(at(0), 5);
     tracker.update_held_confirmation(5);
     tracker.record_confirmation(at(1_000), 6);
     let until = at(5_000);
-    assert_eq!(state(&tracker, 5_000, 5, false), Freshness::Fresh { until });
+    assert_eq!(
+        freshness(&tracker, 5_000, 5, false),
+        Freshness::Fresh { until }
+    );
     let behind = Freshness::Isolated(IsolationCause::Behind);
-    assert_eq!(state(&tracker, 5_001, 5, false), behind);
+    assert_eq!(freshness(&tracker, 5_001, 5, false), behind);
     tracker.update_held_confirmation(6);
-    let silent = Freshness::Isolated(IsolationCause::PeersUnreachable);
-    assert_eq!(state(&tracker, 7_000, 6, false), silent);
+    let unreachable = Freshness::Isolated(IsolationCause::PeersUnreachable);
+    assert_eq!(freshness(&tracker, 7_000, 6, false), unreachable);
     assert!(matches!(
-        state(&tracker, 7_000, 6, true),
+        freshness(&tracker, 7_000, 6, true),
         Freshness::StoreOutage { .. }
     ));
     tracker.record_reply(at(7_000), &region("a"), 6);
     let until = at(12_000);
     assert_eq!(
-        state(&tracker, 8_000, 6, false),
+        freshness(&tracker, 8_000, 6, false),
         Freshness::StoreOutage { until }
     );
     tracker.record_known_revision(7);
-    assert_eq!(state(&tracker, 8_000, 6, false), behind);
+    assert_eq!(freshness(&tracker, 8_000, 6, false), behind);
 }
 
+/// A store with conditional writes that holds only the lease's object.
 struct Store {
     revision: u64,
     record: Option<LeaseRecord>,
 }
 
 impl Store {
+    /// Returns the new revision, or `None` if the condition failed.
     fn write(&mut self, action: &LeaseAction) -> Option<u64> {
         let LeaseAction::Write { expected, record } = action else {
-            panic!("not a write: {action:?}");
+            panic!("expected a write, got {action:?}");
         };
         if *expected != self.record.as_ref().map(|_| self.revision) {
             return None;
         }
         let old = self.record.as_ref().map(|r| r.token);
-        assert!(Some(record.token) >= old, "the token went backward");
+        assert!(Some(record.token) >= old, "the fencing token decreased");
         self.revision += 1;
         self.record = Some(record.clone());
         Some(self.revision)
@@ -269,9 +286,10 @@
     Lease::new(VmName::try_from(name).unwrap(), 1, LeaseConfig::default())
 }
 
-// Guards against two holders at once, and against a paused holder that writes.
+// Guards against two holders at the same time, and against a write by a paused
+// holder that was replaced.
 #[test]
-fn a_paused_holder_is_replaced_and_fenced() {
+fn paused_holder_is_replaced_and_its_writes_fail() {
     let start = Instant::now();
     let at = |secs| start + Duration::from_secs(secs);
     let mut store = Store {
@@ -287,20 +305,21 @@
     assert_eq!(store.write(&from_b), None);
     b.record_conflict();
     let first = a.held(at(1)).unwrap();
-    // The validity counts from the send time at 0 s.
+    // The validity is counted from the send time at 0 s.
     assert_eq!((a.held(at(6)), a.held(at(7))), (Some(first), None));
     b.record_read(at(1), store.read());
-    // Reads that show no renewal do not put the take-over off.
+    // Reads that show no renewal do not delay the takeover.
     assert_eq!(b.next_action(at(2)), LeaseAction::Wait { until: at(3) });
     assert_eq!(b.next_action(at(10)), LeaseAction::Read);
     b.record_read(at(10), store.read());
     assert_eq!(b.next_action(at(10)), LeaseAction::Wait { until: at(11) });
-    let take_over = b.next_action(at(11));
-    b.record_write(at(11), store.write(&take_over).unwrap());
+    let takeover = b.next_action(at(11));
+    b.record_write(at(11), store.write(&takeover).unwrap());
     let second = b.held(at(11)).unwrap();
     assert!(first < second && first.check(second).is_err() && second.check(first).is_ok());
-    // The paused holder wakes, does not hold the lease, and its write conflicts.
-    // It would be for a higher token, since its old decisions must not continue.
+    // The holder resumes after its pause and no longer holds the lease. Its next
+    // write has a higher token, since work decided with the old token must not
+    // continue, and its condition fails.
     assert_eq!(a.held(at(12)), None);
     let late = a.next_action(at(12));
     assert!(matches!(&late, LeaseAction::Write { record, .. } if record.token > first));
@@ -310,12 +329,12 @@
     assert!(matches!(a.next_action(at(12)), LeaseAction::Wait { .. }));
 }
 
-// Guards against a holder that loses its lease because an answer was lost, and
-// against one that counts a write that did not take effect.
+// Guards against a holder that loses its lease because the response to a write
+// was lost, and against one that relies on a write that did not take effect.
 #[rstest]
 #[case::took_effect(true)]
-#[case::did_not(false)]
-fn a_lost_answer_is_resolved_by_reading(#[case] took_effect: bool) {
+#[case::did_not_take_effect(false)]
+fn lost_write_response_is_resolved_by_a_read(#[case] took_effect: bool) {
     let start = Instant::now();
     let mut store = Store {
         revision: 0,
@@ -332,9 +351,10 @@
     assert_eq!(a.held(start).is_some(), took_effect);
 }
 
-// Guards against a stopping holder that others must wait for.
+// Guards against candidates that must wait for the takeover time although the
+// holder released the lease before it stopped.
 #[test]
-fn a_yielded_lease_is_free_at_once() {
+fn released_lease_can_be_acquired_at_once() {
     let start = Instant::now();
     let mut store = Store {
         revision: 0,
@@ -344,18 +364,19 @@
     a.record_read(start, store.read());
     let acquire = a.next_action(start);
     a.record_write(start, store.write(&acquire).unwrap());
-    let give_up = a.release(start).unwrap();
+    let release = a.release(start).unwrap();
     assert_eq!(a.held(start), None);
-    store.write(&give_up).unwrap();
+    store.write(&release).unwrap();
     b.record_read(start, store.read());
-    let take = b.next_action(start);
-    b.record_write(start, store.write(&take).unwrap());
+    let acquire = b.next_action(start);
+    b.record_write(start, store.write(&acquire).unwrap());
     assert_eq!(b.held(start), Some(FencingToken::new(2)));
 }
 
-// Guards against a holder that lets its lease lapse, or grows its token in doing so.
+// Guards against a holder that lets its lease expire, or that renews it with a
+// new token.
 #[test]
-fn a_holder_renews_under_its_token() {
+fn holder_renews_with_the_same_token() {
     let start = Instant::now();
     let at = |secs| start + Duration::from_secs(secs);
     let mut store = Store {
@@ -376,8 +397,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(500) })]
 
-    // Guards against two holders at once, and a token that two holders share,
-    // under conflicts, lost answers, late writes, pauses and yields.
+    // Guards against two holders at the same time, and against one token for two
+    // holders, under conflicts, lost responses, late writes, pauses and releases.
     #[test]
     fn at_most_one_candidate_holds_the_lease(
         ops in proptest::collection::vec((0..3usize, 0..8u8, 0..4_000u64), 1..150),
@@ -385,21 +406,21 @@
         let mut now = Instant::now();
         let mut store = Store { revision: 0, record: None };
         let mut candidates = ["a", "b", "c"].map(candidate);
-        let mut late = Vec::new();
+        let mut delayed_writes = Vec::new();
         let mut holders: BTreeMap<FencingToken, usize> = BTreeMap::new();
         for (i, op, millis) in ops {
             let lease = &mut candidates[i];
             match op {
                 0 | 1 => now += Duration::from_millis(millis),
                 2 => lease.record_read(now, store.read()),
-                3 if !late.is_empty() => {
-                    let write: LeaseAction = late.remove(i % late.len());
+                3 if !delayed_writes.is_empty() => {
+                    let write: LeaseAction = delayed_writes.remove(i % delayed_writes.len());
                     store.write(&write);
                 }
-                4 if millis < 400 => late.extend(lease.release(now)),
+                4 if millis < 400 => delayed_writes.extend(lease.release(now)),
                 _ => match lease.next_action(now) {
                     LeaseAction::Read => lease.record_read(now, store.read()),
-                    write @ LeaseAction::Write { .. } if op == 5 => late.push(write),
+                    write @ LeaseAction::Write { .. } if op == 5 => delayed_writes.push(write),
                     write @ LeaseAction::Write { .. } => match store.write(&write) {
                         Some(revision) if op == 6 => lease.record_write(now, revision),
                         Some(_) => {}
