--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -1,8 +1,9 @@
-//! Decides on one VM to which endpoint a request is sent, and when it is refused.
+//! Decides, for the requests of one VM, to which endpoint a request is sent and
+//! when it is refused.
 //!
 //! All decisions are functions of state and the time `now`, without clocks and
-//! sockets. VMs place requests alike without exchanging messages, because they
-//! rank endpoints by the same hash. Anything else that a VM knows about
+//! sockets. VMs choose the same endpoints without exchanging messages, because
+//! they rank them by the same hash. Anything else that a VM knows about
 //! endpoints, it learns from its own requests.
 //!
 //! - [`deployment`] is the configuration in force.
