--- a/crates/filbertgrade-coord/src/dissemination.rs
+++ b/crates/filbertgrade-coord/src/dissemination.rs
@@ -3,8 +3,9 @@
 //!
 //! In each failure domain a few agents, the relays, watch the store. The others
 //! pull new state from peers, and poll the store only when no confirmation that
-//! their state is current has arrived for [`POLL_DELAY`]. All choices are made
-//! by rendezvous hashing over the platform's list of VMs, without messages.
+//! their state is current has arrived for [`POLL_DELAY`]. Relays and peers are
+//! chosen by rendezvous hashing over the platform's list of VMs, so the choice
+//! takes no messages.
 
 use std::time::{Duration, Instant};
 
@@ -44,7 +45,7 @@
 /// Initial backoff between two polls of one agent; it doubles with each poll.
 const MIN_POLL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest backoff between two polls of one agent. It limits the load of the
+/// Maximum backoff between two polls of one agent. It limits the load of the
 /// store while no agent of the fleet has a confirmation.
 const MAX_POLL_BACKOFF: Duration = Duration::from_secs(8);
 
@@ -157,8 +158,9 @@
     }
 }
 
-/// Tests whether the second member is in a tier of the first one: the same
-/// failure domain, another domain of the same region, or another region.
+/// The tiers around a member, nearest first: its failure domain, the other domains
+/// of its region, and the other regions. Each function tests whether its second
+/// argument is in that tier of the first.
 const TIERS: [fn(&Member, &Member) -> bool; 3] = [
     |me, m| m.failure_domain == me.failure_domain,
     |me, m| m.region == me.region && m.failure_domain != me.failure_domain,
--- a/crates/filbertgrade-coord/src/freshness.rs
+++ b/crates/filbertgrade-coord/src/freshness.rs
@@ -39,10 +39,10 @@
 struct Evidence {
     /// The highest revision that the store reported to an agent of the region,
     /// and when it last did so. The revision comes first so that the maximum of
-    /// two confirmations is the one with the higher revision: an answer by a
-    /// store replica that is behind does not replace it.
+    /// two confirmations is the one with the higher revision: a response
+    /// from a store replica that is behind does not replace it.
     confirmed: Option<(u64, Instant)>,
-    /// When the store last answered an agent of the region, with any revision.
+    /// When the store last responded to an agent of the region, with any revision.
     store_answered: Option<Instant>,
     /// The newest instant at which any agent of the region is known to have
     /// been running.
@@ -59,7 +59,7 @@
     /// Age of the newest confirmation by the store, and the revision that it
     /// confirmed. `None` if there is none of a revision that the sender holds.
     pub confirmed: Option<(Duration, u64)>,
-    /// Age of the newest answer of the store with any revision, or `None` if no
+    /// Age of the newest response of the store with any revision, or `None` if no
     /// agent of the region is known to have received one.
     pub store_answered: Option<Duration>,
     /// Time since any agent of the region was last known to run, or `None` if no
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Records that the store answered a request of this VM, sent at `sent_at`,
+    /// Records that the store responded to a request of this VM, sent at `sent_at`,
     /// with its newest revision `revision`.
     ///
     /// Call [`update_held_confirmation`](Self::update_held_confirmation) afterwards.
@@ -212,8 +212,8 @@
     /// revision that this VM holds now.
     ///
     /// It must be called after every change of the held revision or of the
-    /// evidence. A confirmation of `held` remains usable when one of a newer
-    /// revision replaces it in the evidence, but only if it was used here before.
+    /// evidence. A confirmation of `held` is still valid when one of a newer
+    /// revision replaces it in the evidence, and would be lost without this call.
     ///
     /// A confirmation of a lower revision is not used, because it may come from a
     /// replica of the store that is behind.
@@ -286,7 +286,7 @@
         let is_recent = |at: Instant| now.saturating_duration_since(at) <= self.max_age;
         // An outage is assumed shortly before the last confirmation gets too
         // old, so that a VM does not refuse requests in between. One eighth of
-        // the bound (625 ms) covers two responses of an agent to its entry, which
+        // the maximum age (625 ms of 5 s) covers two responses of an agent to its entry, which
         // are 250 ms apart.
         let outage_after = self.max_age - self.max_age / 8;
         let answered_recently = |at: Instant| now.saturating_duration_since(at) <= outage_after;
--- a/crates/filbertgrade-coord/src/lib.rs
+++ b/crates/filbertgrade-coord/src/lib.rs
@@ -17,8 +17,8 @@
 //! - [`lease`] makes sure that at most one process at a time does a task, and
 //!   gives it a fencing token. [`rendezvous`] divides tasks among processes
 //!   without messages.
-//! - [`steering`] decides on one VM to which endpoint a request is sent, and when
-//!   it is refused, without messages to other VMs.
+//! - [`steering`] decides, for the requests of one VM, to which endpoint a request
+//!   is sent and when it is refused, without messages to other VMs.
 //! - [`weights`] moves traffic between regions in steps of limited size.
 //! - [`names`] has the types for validated names that all modules use.
 //!
--- a/crates/filbertgrade-coord/src/versioned.rs
+++ b/crates/filbertgrade-coord/src/versioned.rs
@@ -77,7 +77,7 @@
     /// missing. The map did not change.
     Gap {
         /// The map's revision, from which a new delta is to be requested.
-        have: u64,
+        revision: u64,
     },
 }
 
@@ -184,7 +184,7 @@
         }
         if delta.from > self.revision {
             return Ok(ApplyOutcome::Gap {
-                have: self.revision,
+                revision: self.revision,
             });
         }
         let mut changes = delta.changes;
--- a/crates/filbertgrade-coord/tests/state.rs
+++ b/crates/filbertgrade-coord/tests/state.rs
@@ -34,7 +34,7 @@
 fn versioned_map_rejects_stale_incomplete_and_malformed_updates() {
     let mut map = VersionedMap::new(10);
     let gap = map.apply_delta(delta(3, 5, &[("a", 4, Some(1))]));
-    assert_eq!(gap, Ok(ApplyOutcome::Gap { have: 0 }));
+    assert_eq!(gap, Ok(ApplyOutcome::Gap { revision: 0 }));
     let first = delta(0, 5, &[("a", 2, Some(1)), ("b", 5, Some(2))]);
     assert!(
         matches!(map.apply_delta(first), Ok(ApplyOutcome::Advanced(names)) if names.len() == 2)
@@ -180,7 +180,7 @@
     #[case] reports: &[RegionReport],
     #[case] expected: &str,
 ) {
-    let direct = freshness_at_20_s(|tracker, at| {
+    let freshness = freshness_at_20_s(|tracker, at| {
         for &(name, confirmed, replied_at, revision) in reports {
             let mut other = FreshnessTracker::new(region(name));
             if let Some((millis, revision)) = confirmed {
@@ -193,7 +193,7 @@
             tracker.record_ages(sent_at, &other.ages(sent_at, revision));
         }
     });
-    assert_eq!(direct, expected);
+    assert_eq!(freshness, expected);
 }
 
 // Guards against evidence that looks newer after it was relayed by other agents.
