--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -78,6 +78,7 @@
     rendezvous::top(LEASE_OBJECT, live.map(|vm| &vm.name), CANDIDATES).contains(&vm)
 }
 
+/// State of the allocator task.
 struct Allocator {
     agent: Arc<Agent>,
     lease: Lease,
@@ -216,6 +217,8 @@
         }
     }
 
+    /// The share table to publish next; `None` when there is nothing to publish
+    /// or a VM has not yet put the current table into effect.
     async fn next_table(
         &mut self,
         token: FencingToken,
@@ -224,7 +227,7 @@
     ) -> Option<ShareTable> {
         if table.token() < token && table.version() > 0 {
             // The first write under a new token changes the revision, so a
-            // write that the previous holder has still in flight fails.
+            // write that the previous holder still has in flight fails.
             return Some(table.with_token(token));
         }
         let now = Instant::now();
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -88,11 +88,12 @@
 pub(crate) struct State {
     /// Objects of the store. The revision never decreases.
     pub(crate) objects: VersionedMap<Bytes>,
-    /// Evidence on the store and the other regions.
+    /// Evidence about the store and the regions.
     pub(crate) freshness: FreshnessTracker,
     /// VMs in the platform's list; updated together with `objects`.
     pub(crate) vms: Vec<VmRecord>,
-    /// Role of this agent among `vms`; updated together with them.
+    /// Peers and duties of this agent, derived from `vms`; updated together with
+    /// them.
     pub(crate) topology: Topology,
     /// When this agent received its first state.
     first_state_at: Option<Instant>,
@@ -185,7 +186,7 @@
         Ok(applied)
     }
 
-    /// This agent as a member of the dissemination.
+    /// This agent as a [`Member`], for the choice of peers and relays.
     pub(crate) fn as_member(&self) -> Member {
         Member {
             vm: self.settings.vm.clone(),
@@ -251,7 +252,7 @@
         .collect()
 }
 
-/// The VM as a member of the dissemination; `None` when it is leaving.
+/// The agent of `vm` as a [`Member`]; `None` when the VM is leaving.
 fn live_member(vm: &VmRecord) -> Option<Member> {
     vm.is_live().then(|| Member {
         vm: vm.name.clone(),
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -123,6 +123,7 @@
     );
 }
 
+/// The reply to a pull: the changes that the peer lacks, and the evidence.
 fn pull_reply(agent: &Agent, pull: &Pull) -> PullReply {
     let state = agent.state();
     let now = Instant::now();
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -230,7 +230,7 @@
     /// Newest revision that is known in the region.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// Revision that this confirmation is for; 0 when there is none.
+    /// Revision that the newest confirmation is for; 0 when there is none.
     #[prost(uint64, tag = "5")]
     pub confirmed_revision: u64,
     /// Age of the newest response of the store for any revision, in
--- a/crates/filbertgrade/tests/agents/load.rs
+++ b/crates/filbertgrade/tests/agents/load.rs
@@ -63,7 +63,7 @@
         load
     }
 
-    /// All responses of VM `n` so far, counted from 0.
+    /// All responses so far of the VM with index `n`, counted from 0.
     pub(crate) fn responses(&self, n: usize) -> Vec<CallerResponse> {
         self.responses[n].lock().unwrap().clone()
     }
@@ -136,6 +136,6 @@
     if outcome.is_none() {
         *open = None;
     }
-    let (status, cause) = outcome.unwrap_or((0, "no answer".to_owned()));
+    let (status, cause) = outcome.unwrap_or((0, "no response".to_owned()));
     CallerResponse { status, cause }
 }
--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -27,7 +27,8 @@
 //! Configurations:
 //! - `version WORD`: applies a configuration with an open service of that name
 //!   and prints the exit code.
-//! - `in_force WORD within=MS [vm=n]`: waits until every VM, or VM n, serves it.
+//! - `in_force WORD within=MS [vm=n]`: waits up to `within` until every VM, or VM
+//!   n, serves it, and prints whether they do.
 //! - `follow WORD`: sends requests for it to every VM until the scenario ends.
 //! - `reverts WORD`: prints the number of VMs that did not know the service after
 //!   they had served it.
@@ -252,7 +253,7 @@
                         let cause = cause.map_or("", |cause| cause.to_str().unwrap());
                         format!("{} {cause}", response.status().as_u16())
                     }
-                    Err(_) => "no answer".to_owned(),
+                    Err(_) => "no response".to_owned(),
                 };
             }
             "version" => {
@@ -441,7 +442,8 @@
     }
 
     /// Waits, and meanwhile records the share table and the lease every 2 ms. The
-    /// allocator writes at most every 200 ms, so no table is missed.
+    /// allocator writes at most every 200 ms, so this is often enough to record
+    /// every table.
     fn sleep(&mut self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
