--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -92,7 +92,7 @@
             })
         {
             retained.last_used = now;
-            return Some(page_of(&retained.delta, resume.next));
+            return Some(page_of(&retained.delta, resume.offset));
         }
         let delta = delta_for(objects, revision)?;
         let page = page_of(&delta, 0);
@@ -118,7 +118,7 @@
         self.collected.as_ref().map(|delta| Resume {
             from: delta.from,
             to: delta.to,
-            next: delta.objects.len() as u64,
+            offset: delta.objects.len() as u64,
         })
     }
 
@@ -130,7 +130,7 @@
     /// Fails if the page is empty, does not continue the previous ones, or
     /// makes the delta too large. All pages collected so far are discarded then.
     pub(crate) fn add_page(&mut self, page: wire::Delta) -> Result<Option<wire::Delta>, PageError> {
-        let previous = self.collected.take().filter(|_| page.first > 0);
+        let previous = self.collected.take().filter(|_| page.offset > 0);
         let mut bytes = if previous.is_some() { self.bytes } else { 0 };
         bytes += page.objects.iter().map(object_bytes).sum::<usize>();
         let collected = previous
@@ -141,9 +141,9 @@
                 == (page.from, page.to, page.snapshot, page.total)
         });
         let empty = page.objects.is_empty() && page.total > 0;
-        if page.first != collected || !continues || empty || bytes > MAX_COLLECTED_BYTES {
+        if page.offset != collected || !continues || empty || bytes > MAX_COLLECTED_BYTES {
             return Err(PageError {
-                first: page.first,
+                first: page.offset,
                 total: page.total,
                 collected,
                 bytes,
@@ -165,9 +165,9 @@
     }
 }
 
-/// Returns the page of `delta` that starts after its first `first` objects.
-fn page_of(delta: &wire::Delta, first: u64) -> wire::Delta {
-    let rest = delta.objects.get(first as usize..).unwrap_or_default();
+/// Returns the page of `delta` that starts after its first `offset` objects.
+fn page_of(delta: &wire::Delta, offset: u64) -> wire::Delta {
+    let rest = delta.objects.get(offset as usize..).unwrap_or_default();
     let mut bytes = 0;
     let page_objects = rest.iter().take_while(|object| {
         bytes += object_bytes(object);
@@ -179,7 +179,7 @@
         to: delta.to,
         objects: rest[..count].to_vec(),
         snapshot: delta.snapshot,
-        first,
+        offset,
         total: delta.objects.len() as u64,
     }
 }
@@ -263,7 +263,7 @@
                 })
                 .collect(),
             snapshot: false,
-            first: 0,
+            offset: 0,
             total: 0,
         }
     }
@@ -284,7 +284,7 @@
                 })
                 .collect(),
             snapshot: true,
-            first: 0,
+            offset: 0,
             total: 0,
         }
     }
--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/scene.rs
@@ -21,7 +21,7 @@
 /// server. The entry counts `x-deadline-ms` from when it receives the request,
 /// takes the token after that, and starts no attempt later than
 /// `MIN_DEADLINE` before the deadline (`take_slot` and `request_for` in
-/// `entry/carry.rs`). Admissions are therefore observed late by less than the
+/// `entry/forward.rs`). Admissions are therefore observed late by less than the
 /// deadline, and never early.
 const JITTER: Duration = DEADLINE;
 
