--- a/crates/filbertgrade/src/version/config/read.rs
+++ b/crates/filbertgrade/src/version/config/read.rs
@@ -35,6 +35,7 @@
 /// fleet exact.
 const ACCEPTED_WEIGHT: RangeInclusive<i64> = 0..=1_000_000;
 
+/// Accepted bandwidth between two regions.
 const ACCEPTED_BANDWIDTH_MBIT: RangeInclusive<i64> = 1..=1_000_000_000;
 
 /// Longest accepted latency. A longer one is most likely given in a wrong unit.
@@ -464,6 +465,7 @@
         }
     }
 
+    /// Reads a required latency, given in milliseconds.
     fn latency(&mut self, table: &mut Table<'_>, key: &'static str) -> Option<Duration> {
         let accepted = "a number from 0 to 10000, in milliseconds";
         let value = self.number(table, key, accepted, |ms| {
@@ -533,6 +535,7 @@
         }
     }
 
+    /// Reads a string that must be a valid name.
     fn name<T>(&mut self, node: &Node, path: &str) -> Option<T>
     where
         T: for<'a> TryFrom<&'a str, Error = NameError>,
@@ -559,6 +562,7 @@
         }
     }
 
+    /// Returns the items of an array, or none if the value is not accepted.
     fn array<'a>(
         &mut self,
         node: &'a Node,
--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -39,6 +39,7 @@
     retained: VecDeque<RetainedDelta>,
 }
 
+/// A delta of which `receiver` has only received some pages.
 #[derive(Debug)]
 struct RetainedDelta {
     receiver: String,
@@ -59,11 +60,11 @@
 /// exceed [`MAX_COLLECTED_BYTES`].
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "delta page at object {first} of {total} rejected: {collected} objects are collected, \
+    "delta page at object {offset} of {total} rejected: {collected} objects are collected, \
      {bytes} bytes including this page"
 )]
 pub(crate) struct PageError {
-    first: u64,
+    offset: u64,
     total: u64,
     collected: u64,
     bytes: usize,
@@ -73,7 +74,8 @@
     /// Returns the next page for `receiver`, whose copy is at `revision`, or
     /// `None` if it is up to date.
     ///
-    /// `resume` names the page that the receiver needs of a delta it has begun.
+    /// `resume` identifies the next page of a delta that the receiver has partly
+    /// received.
     /// If that delta is no longer retained, a new one starts at its first page.
     pub(crate) fn next_page(
         &mut self,
@@ -143,7 +145,7 @@
         let empty = page.objects.is_empty() && page.total > 0;
         if page.offset != collected || !continues || empty || bytes > MAX_COLLECTED_BYTES {
             return Err(PageError {
-                first: page.offset,
+                offset: page.offset,
                 total: page.total,
                 collected,
                 bytes,
@@ -184,6 +186,7 @@
     }
 }
 
+/// Estimated encoded size of an object.
 fn object_bytes(object: &wire::Object) -> usize {
     object.name.len() + object.value.as_ref().map_or(0, Bytes::len) + OBJECT_OVERHEAD_BYTES
 }
@@ -263,6 +266,7 @@
                 })
                 .collect(),
             snapshot: false,
+            // `page_of` sets the offset and total of each page.
             offset: 0,
             total: 0,
         }
@@ -284,6 +288,7 @@
                 })
                 .collect(),
             snapshot: true,
+            // `page_of` sets the offset and total of each page.
             offset: 0,
             total: 0,
         }
--- a/crates/filbertgrade/src/version/in_force.rs
+++ b/crates/filbertgrade/src/version/in_force.rs
@@ -1,7 +1,7 @@
 //! The view of the platform's objects that is in force in one process.
 //!
-//! A view is immutable. A process builds a new one from its object map after
-//! each change, and each request uses one view throughout a decision.
+//! A view is immutable. A process builds a new one whenever its object map
+//! changes.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/crates/filbertgrade/src/version/shares.rs
+++ b/crates/filbertgrade/src/version/shares.rs
@@ -10,6 +10,7 @@
 /// Name of the object that holds the share table.
 pub(crate) const SHARE_TABLE: &str = "shares/table";
 
+/// Stored form of a [`ShareTable`].
 #[derive(Serialize, Deserialize)]
 struct ShareTableFile {
     version: u64,
--- a/crates/filbertgrade/src/version/steering.rs
+++ b/crates/filbertgrade/src/version/steering.rs
@@ -20,14 +20,15 @@
 pub(crate) struct SteeringTable {
     /// Fencing token of the allocator that wrote the table.
     pub(crate) token: FencingToken,
-    /// Number of steps so far. An allocator takes the time when it first saw
-    /// this number as the time of the last step; that is never before the write.
+    /// Number of steps so far. An allocator uses the time at which it first saw
+    /// this number as the time of the last step. That is never earlier than the
+    /// write.
     pub(crate) step: u64,
     /// Minimum time from the last step to the next. It is stored because a later
     /// configuration may shorten the time to live while callers still cache
-    /// look-up answers with the longer one.
+    /// lookup responses with the longer one.
     pub(crate) pause: Duration,
-    /// Weights of look-ups, which step towards the average of the services'
+    /// Weights of lookups, which step towards the average of the services'
     /// weights; `None` while there is no service.
     pub(crate) lookups: Option<Weights>,
     /// Weights of each service's requests.
@@ -37,7 +38,7 @@
 impl SteeringTable {
     /// Returns the next table to publish, or `None` if nothing changes.
     ///
-    /// All services step at the same time, so that look-ups step with them. A
+    /// All services step at the same time, so that lookups step with them. A
     /// service that is not in the table yet starts at its target. `last_step`
     /// is when the allocator first saw the current step.
     pub(crate) fn next(
@@ -130,6 +131,7 @@
 /// Weight units by region name.
 type Units = BTreeMap<String, u32>;
 
+/// Stored form of a [`SteeringTable`].
 #[derive(Serialize, Deserialize)]
 struct SteeringFile {
     token: u64,
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -68,8 +68,8 @@
                 .header("host", SERVICE)
                 .body(http_body_util::Full::default())
                 .unwrap();
-            let answer = crate::fleet::send(vm, req).await;
-            answer.is_ok_and(|answer| answer.status() == 200)
+            let response = crate::fleet::send(vm, req).await;
+            response.is_ok_and(|response| response.status() == 200)
         };
         fleet.wait_until(Duration::from_secs(10), ready).await;
         let started_at = Instant::now();
--- a/crates/filbertgrade/tests/operators/apply.rs
+++ b/crates/filbertgrade/tests/operators/apply.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::fleet::Fleet;
-use crate::{File, run};
+use crate::{TempConfig, run};
 
 /// Returns the stored root of the configuration.
 fn root(fleet: &Fleet) -> serde_json::Value {
@@ -18,10 +18,10 @@
 async fn of_concurrent_applies_one_is_accepted_and_the_others_report_its_version() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
-    let files: Vec<File> = (5..9)
+    let files: Vec<TempConfig> = (5..9)
         .map(|slots| {
             let slots = format!("slots = {slots}");
-            File::new(&fleet.config().replace("slots = 4", &slots))
+            TempConfig::new(&fleet.config().replace("slots = 4", &slots))
         })
         .collect();
     // Each call takes so long that all operators read the same root before one
@@ -30,18 +30,22 @@
     let runs = files
         .iter()
         .map(async |file| run(&fleet, &["apply", file.path()]).await);
-    let ran = futures::future::join_all(runs).await;
+    let outputs = futures::future::join_all(runs).await;
     fleet.platform.set_delay(Duration::ZERO);
 
-    let accepted: Vec<usize> = (0..4).filter(|n| ran[*n].code == 0).collect();
-    assert_eq!(accepted.len(), 1, "{ran:?}");
-    assert_eq!(ran[accepted[0]].out, "accepted as version 2\n");
+    let accepted: Vec<usize> = (0..4).filter(|n| outputs[*n].code == 0).collect();
+    assert_eq!(accepted.len(), 1, "{outputs:?}");
+    assert_eq!(outputs[accepted[0]].stdout, "accepted as version 2\n");
     for rejected in (0..4).filter(|n| *n != accepted[0]) {
-        assert_eq!(ran[rejected].code, 4, "{ran:?}");
-        assert!(ran[rejected].err.contains("version 2 was accepted first"));
+        assert_eq!(outputs[rejected].code, 4, "{outputs:?}");
+        assert!(
+            outputs[rejected]
+                .stderr
+                .contains("version 2 was accepted first")
+        );
     }
     let diff = run(&fleet, &["diff", files[accepted[0]].path()]).await;
-    assert_eq!(diff.out, "no differences from version 2\n");
+    assert_eq!(diff.stdout, "no differences from version 2\n");
 }
 
 /// Guards against an apply that is reported as failed although it took effect.
@@ -49,14 +53,15 @@
 async fn lost_store_response_is_resolved_by_the_apply_id() {
     let fleet = Fleet::start(0).await;
     fleet.apply().await;
-    let file = File::new(&fleet.config().replace("slots = 4", "slots = 5"));
+    let file = TempConfig::new(&fleet.config().replace("slots = 4", "slots = 5"));
     // Loses four responses: those to the write of the changed part and its
     // retry, and more than one for the root.
     fleet.platform.lose_next_answers(4);
-    let ran = run(&fleet, &["apply", file.path()]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let output = run(&fleet, &["apply", file.path()]).await;
+    assert_eq!(output.code, 0, "{output:?}");
     assert!(
-        ran.out
+        output
+            .stdout
             .contains("accepted as version 2; the store's answer was lost")
     );
     assert_eq!(root(&fleet)["version"], 2);
@@ -73,7 +78,7 @@
     // written.
     let first = fleet.config();
     let second = first.replace("slots = 4", "slots = 5");
-    let (first, second) = (File::new(&first), File::new(&second));
+    let (first, second) = (TempConfig::new(&first), TempConfig::new(&second));
     assert_eq!(run(&fleet, &["apply", second.path()]).await.code, 0);
     fleet.platform.set_delay(Duration::from_millis(150));
     let store = &fleet.platform;
@@ -91,12 +96,15 @@
         store.lose_next_answers(0);
     };
     let args = ["apply", first.path()];
-    let (ran, ()) = tokio::join!(run(&fleet, &args), replace);
-    assert_eq!(ran.code, 0, "{ran:?}");
-    assert!(ran.out.contains("accepted as version 3"), "{ran:?}");
+    let (output, ()) = tokio::join!(run(&fleet, &args), replace);
+    assert_eq!(output.code, 0, "{output:?}");
     assert!(
-        ran.out.contains("version 4 has replaced it since"),
-        "{ran:?}"
+        output.stdout.contains("accepted as version 3"),
+        "{output:?}"
+    );
+    assert!(
+        output.stdout.contains("version 4 has replaced it since"),
+        "{output:?}"
     );
 }
 
@@ -106,7 +114,7 @@
     let fleet = Fleet::start(0).await;
     for slots in 1..=18 {
         let slots = format!("slots = {slots}");
-        let file = File::new(&fleet.config().replace("slots = 4", &slots));
+        let file = TempConfig::new(&fleet.config().replace("slots = 4", &slots));
         assert_eq!(run(&fleet, &["apply", file.path()]).await.code, 0);
     }
     let root = root(&fleet);
@@ -122,25 +130,29 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn faulty_unchanged_and_rejected_files_write_nothing() {
     let fleet = Fleet::start(2).await;
-    let file = File::new(&fleet.config());
+    let file = TempConfig::new(&fleet.config());
     fleet.platform.set_down(true);
-    let ran = run(&fleet, &["apply", file.path()]).await;
-    assert_eq!(ran.code, 6, "{ran:?}");
-    assert!(ran.err.contains("nothing took effect"));
+    let output = run(&fleet, &["apply", file.path()]).await;
+    assert_eq!(output.code, 6, "{output:?}");
+    assert!(output.stderr.contains("nothing took effect"));
     fleet.platform.set_down(false);
     fleet.apply().await;
 
     let writes = fleet.platform.counts().writes;
-    let ran = run(&fleet, &["apply", file.path()]).await;
+    let output = run(&fleet, &["apply", file.path()]).await;
     assert_eq!(
-        (ran.code, ran.out.as_str()),
+        (output.code, output.stdout.as_str()),
         (0, "unchanged: version 1 has this content\n")
     );
 
-    let faulty = File::new(&fleet.config().replace("slots = 4", "slots = 0"));
-    let ran = run(&fleet, &["apply", faulty.path()]).await;
-    assert_eq!(ran.code, 3, "{ran:?}");
-    assert_eq!(ran.err.matches("slots: is 0").count(), 2, "{ran:?}");
+    let faulty = TempConfig::new(&fleet.config().replace("slots = 4", "slots = 0"));
+    let output = run(&fleet, &["apply", faulty.path()]).await;
+    assert_eq!(output.code, 3, "{output:?}");
+    assert_eq!(
+        output.stderr.matches("slots: is 0").count(),
+        2,
+        "{output:?}"
+    );
 
     fleet.platform.put(
         "keys/0011",
@@ -152,16 +164,22 @@
         .replace("[\"north-a\"]", "[\"north-b\"]")
         .replace("north-a =", "north-b =")
         .replace("teams.outfitter", "teams.pattern-room");
-    let other = File::new(&other);
-    let ran = run(&fleet, &["apply", other.path()]).await;
-    assert_eq!(ran.code, 5, "{ran:?}");
+    let other = TempConfig::new(&other);
+    let output = run(&fleet, &["apply", other.path()]).await;
+    assert_eq!(output.code, 5, "{output:?}");
     assert!(
-        ran.err
+        output
+            .stderr
             .contains("the store belongs to test, the file to other")
     );
-    assert!(ran.err.contains("north-a removed while VM vm-1 is live"));
     assert!(
-        ran.err
+        output
+            .stderr
+            .contains("north-a removed while VM vm-1 is live")
+    );
+    assert!(
+        output
+            .stderr
             .contains("teams.outfitter: removed while its keys are granted")
     );
     assert_eq!(fleet.platform.counts().writes, writes);
@@ -174,28 +192,28 @@
     let mut fleet = Fleet::start(3).await;
     let whole = fleet.config();
     let (first, second) = whole.split_once("[teams.atelier]").unwrap();
-    let first = File::new(first);
-    let second = File::new(&format!("[teams.atelier]{second}"));
-    let ran = run(&fleet, &["apply", "--wait", first.path(), second.path()]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let first = TempConfig::new(first);
+    let second = TempConfig::new(&format!("[teams.atelier]{second}"));
+    let output = run(&fleet, &["apply", "--wait", first.path(), second.path()]).await;
+    assert_eq!(output.code, 0, "{output:?}");
     assert!(
-        ran.out.ends_with("version 1 is in force on 3 VMs\n"),
-        "{ran:?}"
+        output.stdout.ends_with("version 1 is in force on 3 VMs\n"),
+        "{output:?}"
     );
 
     // Only the entry is killed; the agent still responds.
     let _ = fleet.vms[1].entry.kill();
-    let next = File::new(&whole.replace("slots = 4", "slots = 5"));
+    let next = TempConfig::new(&whole.replace("slots = 4", "slots = 5"));
     let args = ["apply", "--wait", "--wait-limit-ms", "3000", next.path()];
-    let ran = run(&fleet, &args).await;
-    assert_eq!(ran.code, 8, "{ran:?}");
-    assert!(ran.err.contains("waiting for vm-2\n"), "{ran:?}");
+    let output = run(&fleet, &args).await;
+    assert_eq!(output.code, 8, "{output:?}");
+    assert!(output.stderr.contains("waiting for vm-2\n"), "{output:?}");
 
     let status = run(&fleet, &["status"]).await;
     assert_eq!(status.code, 0, "{status:?}");
     let row = |vm: &str| -> Vec<String> {
         let line = status
-            .out
+            .stdout
             .lines()
             .find(|line| line.starts_with(vm))
             .unwrap();
@@ -207,7 +225,7 @@
     let status = run(&fleet, &["status"]).await;
     assert!(
         status
-            .out
+            .stdout
             .lines()
             .any(|l| l.starts_with("vm-3") && l.ends_with("no"))
     );
@@ -221,10 +239,10 @@
     fleet
         .platform
         .put("config/part/left-by-a-rejected-apply", "x");
-    let texts: Vec<File> = [4, 5, 6, 5]
+    let texts: Vec<TempConfig> = [4, 5, 6, 5]
         .iter()
         .map(|slots| {
-            File::new(
+            TempConfig::new(
                 &fleet
                     .config()
                     .replace("slots = 4", &format!("slots = {slots}")),
@@ -268,7 +286,7 @@
     fleet.apply().await;
     let file = |slots: u8| {
         let slots = format!("slots = {slots}");
-        File::new(&fleet.config().replace("slots = 4", &slots))
+        TempConfig::new(&fleet.config().replace("slots = 4", &slots))
     };
     let (second, third) = (file(5), file(6));
     assert_eq!(run(&fleet, &["apply", second.path()]).await.code, 0);
@@ -282,7 +300,10 @@
         tokio::time::sleep(std::time::Duration::from_millis(1500)).await;
         fleet.platform.set_stale_reads(0);
     };
-    let (ran, ()) = tokio::join!(run(&fleet, &args), catch_up);
-    assert_eq!(ran.code, 4, "{ran:?}");
-    assert!(ran.err.contains("version 2 was accepted first"), "{ran:?}");
+    let (output, ()) = tokio::join!(run(&fleet, &args), catch_up);
+    assert_eq!(output.code, 4, "{output:?}");
+    assert!(
+        output.stderr.contains("version 2 was accepted first"),
+        "{output:?}"
+    );
 }
--- a/crates/filbertgrade/tests/operators/drain.rs
+++ b/crates/filbertgrade/tests/operators/drain.rs
@@ -28,17 +28,17 @@
         assert_eq!(run(&fleet, &args).await.code, 5);
     }
     fleet.apply().await;
-    let ran = run(&fleet, &["drain", "vm", "vm-2"]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
-    assert_eq!(ran.out, "drain of vm vm-2 is in force on 2 VMs\n");
+    let output = run(&fleet, &["drain", "vm", "vm-2"]).await;
+    assert_eq!(output.code, 0, "{output:?}");
+    assert_eq!(output.stdout, "drain of vm vm-2 is in force on 2 VMs\n");
     assert!(!lookup_response(&fleet, 0).await.contains("vm-2"));
 
     fleet.platform.lose_next_answers(1);
-    let ran = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
+    let output = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
+    assert_eq!(output.code, 0, "{output:?}");
     assert!(lookup_response(&fleet, 0).await.contains("vm-2"));
-    let ran = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
-    assert_eq!(ran.out, "vm vm-2 was not drained\n");
+    let output = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
+    assert_eq!(output.stdout, "vm vm-2 was not drained\n");
 
     let server = fleet.proxies[0].addr().to_string();
     assert_eq!(run(&fleet, &["drain", "server", &server]).await.code, 0);
@@ -59,9 +59,9 @@
     fleet.apply().await;
     let _ = fleet.vms[1].agent.kill();
     let args = ["drain", "--wait-limit-ms", "1000", "vm", "vm-1"];
-    let ran = run(&fleet, &args).await;
-    assert_eq!(ran.code, 8, "{ran:?}");
-    assert!(ran.err.contains("waiting for vm-2\n"), "{ran:?}");
+    let output = run(&fleet, &args).await;
+    assert_eq!(output.code, 8, "{output:?}");
+    assert!(output.stderr.contains("waiting for vm-2\n"), "{output:?}");
     assert_eq!(fleet.platform.names("drains/"), ["drains/vm/vm-1"]);
 }
 
@@ -116,7 +116,7 @@
     // The delay gives the test time to take the store down between two calls.
     fleet.platform.set_delay(Duration::from_millis(200));
     let args = ["drain", "region", "south"];
-    let (ran, ()) = tokio::join!(run(&fleet, &args), stop_responding);
-    assert_eq!(ran.code, 7, "{ran:?}");
+    let (output, ()) = tokio::join!(run(&fleet, &args), stop_responding);
+    assert_eq!(output.code, 7, "{output:?}");
     assert!(start.elapsed() < Duration::from_secs(20));
 }
--- a/crates/filbertgrade/tests/operators/key.rs
+++ b/crates/filbertgrade/tests/operators/key.rs
@@ -9,18 +9,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn create_stores_only_a_digest_and_succeeds_after_a_lost_store_response() {
     let fleet = Fleet::start(0).await;
-    let ran = run(&fleet, &["key", "create", "atelier"]).await;
-    assert_eq!(ran.code, 5, "{ran:?}");
+    let output = run(&fleet, &["key", "create", "atelier"]).await;
+    assert_eq!(output.code, 5, "{output:?}");
     fleet.apply().await;
-    let ran = run(&fleet, &["key", "create", "nobody"]).await;
-    assert_eq!(ran.code, 5, "{ran:?}");
-    assert!(ran.err.contains("teams are atelier, outfitter"), "{ran:?}");
+    let output = run(&fleet, &["key", "create", "nobody"]).await;
+    assert_eq!(output.code, 5, "{output:?}");
+    assert!(
+        output.stderr.contains("teams are atelier, outfitter"),
+        "{output:?}"
+    );
     assert!(fleet.platform.names("keys/").is_empty());
 
     fleet.platform.lose_next_answers(1);
-    let ran = run(&fleet, &["key", "create", "atelier"]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
-    let secret = ran.out.trim().rsplit('_').next().unwrap();
+    let output = run(&fleet, &["key", "create", "atelier"]).await;
+    assert_eq!(output.code, 0, "{output:?}");
+    let secret = output.stdout.trim().rsplit('_').next().unwrap();
     let names = fleet.platform.names("keys/");
     assert_eq!(names.len(), 1);
     let (_, value) = fleet.platform.get(&names[0]).unwrap();
@@ -28,7 +31,7 @@
 
     let list = run(&fleet, &["key", "list"]).await;
     let id = names[0].trim_start_matches("keys/");
-    assert_eq!(list.out, format!("{id} team=atelier state=granted\n"));
+    assert_eq!(list.stdout, format!("{id} team=atelier state=granted\n"));
 }
 
 /// Guards against a withdrawal that is reported as accepted while a region may
@@ -44,17 +47,17 @@
     let id = |secret: &str| secret.split('_').nth(1).unwrap().to_owned();
     let (first, second) = (id(&first), id(&second));
     fleet.platform.lose_next_answers(1);
-    let ran = run(&fleet, &["key", "withdraw", &first]).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
-    assert!(ran.out.starts_with("accepted: "), "{ran:?}");
+    let output = run(&fleet, &["key", "withdraw", &first]).await;
+    assert_eq!(output.code, 0, "{output:?}");
+    assert!(output.stdout.starts_with("accepted: "), "{output:?}");
 
     // vm-2 is the only VM of its region.
     let _ = fleet.vms[1].agent.kill();
     let args = ["key", "--wait-limit-ms", "1500", "withdraw", &second];
-    let ran = run(&fleet, &args).await;
-    assert_eq!(ran.code, 8, "{ran:?}");
+    let output = run(&fleet, &args).await;
+    assert_eq!(output.code, 8, "{output:?}");
     let error = "written, not confirmed; waiting for region south";
-    assert!(ran.err.contains(error), "{ran:?}");
+    assert!(output.stderr.contains(error), "{output:?}");
     let (_, value) = fleet.platform.get(&format!("keys/{second}")).unwrap();
     assert!(
         String::from_utf8(value.to_vec())
@@ -65,11 +68,11 @@
     // For the other region, the confirmation of one of its VMs is enough.
     fleet.platform.delete_vm("vm-2");
     let _ = fleet.vms[2].agent.kill();
-    let ran = run(&fleet, &args).await;
-    assert_eq!(ran.code, 0, "{ran:?}");
-    let ran = run(&fleet, &["key", "withdraw", "../config/root"]).await;
-    assert_eq!(ran.code, 5, "{ran:?}");
+    let output = run(&fleet, &args).await;
+    assert_eq!(output.code, 0, "{output:?}");
+    let output = run(&fleet, &["key", "withdraw", "../config/root"]).await;
+    assert_eq!(output.code, 5, "{output:?}");
     fleet.platform.set_down(true);
-    let ran = run(&fleet, &["key", "withdraw", &first]).await;
-    assert_eq!(ran.code, 6, "{ran:?}");
+    let output = run(&fleet, &["key", "withdraw", &first]).await;
+    assert_eq!(output.code, 6, "{output:?}");
 }
--- a/crates/filbertgrade/tests/operators/main.rs
+++ b/crates/filbertgrade/tests/operators/main.rs
@@ -23,30 +23,30 @@
 
 /// Exit code and output of a command.
 #[derive(Debug)]
-struct Ran {
+struct CommandOutput {
     code: i32,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
 /// Runs a command with `--store` set to the fleet's store.
-async fn run(fleet: &Fleet, args: &[&str]) -> Ran {
+async fn run(fleet: &Fleet, args: &[&str]) -> CommandOutput {
     let store = fleet.platform.addr().to_string();
     let (command, rest) = args.split_first().unwrap();
     let mut args = vec![*command, "--store", &store];
     args.extend(rest);
     let output = invoke(&args).await;
-    Ran {
+    CommandOutput {
         code: output.status.code().unwrap(),
-        out: String::from_utf8(output.stdout).unwrap(),
-        err: String::from_utf8(output.stderr).unwrap(),
+        stdout: String::from_utf8(output.stdout).unwrap(),
+        stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
 /// A temporary configuration file, removed when the value is dropped.
-struct File(tempfile::NamedTempFile);
+struct TempConfig(tempfile::NamedTempFile);
 
-impl File {
+impl TempConfig {
     fn new(text: &str) -> Self {
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(text.as_bytes()).unwrap();
--- a/crates/filbertgrade/tests/operators/operator.rs
+++ b/crates/filbertgrade/tests/operators/operator.rs
@@ -140,11 +140,11 @@
     let fleet = Fleet::start(0).await;
     fleet.platform.set_unresponsive(true);
     let start = Instant::now();
-    let ran = invoke(&["dump", &fleet.platform.addr().to_string()]).await;
-    assert_eq!(ran.status.code(), Some(1));
+    let output = invoke(&["dump", &fleet.platform.addr().to_string()]).await;
+    assert_eq!(output.status.code(), Some(1));
     assert!(start.elapsed() < Duration::from_secs(10));
-    let ran = run(&fleet, &["status"]).await;
-    assert_eq!(ran.code, 6, "{ran:?}");
+    let output = run(&fleet, &["status"]).await;
+    assert_eq!(output.code, 6, "{output:?}");
 }
 
 /// Guards against log values that a reader would take for several values or lines.
--- a/crates/filbertgrade/tests/shares/main.rs
+++ b/crates/filbertgrade/tests/shares/main.rs
@@ -11,4 +11,4 @@
 mod fleet;
 
 mod rate;
-mod scene;
+mod setup;
--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/setup.rs
@@ -25,32 +25,33 @@
 /// deadline, and never early.
 const JITTER: Duration = DEADLINE;
 
-/// The team that sends five times its rate.
-pub(crate) const GREEDY: Limit = Limit {
+/// Limit of the team that sends five times its rate.
+pub(crate) const OVER_RATE: Limit = Limit {
     rate: 60.0,
     burst: 30.0,
 };
 
-/// The team that sends 80% of its rate.
-pub(crate) const STEADY: Limit = Limit {
+/// Limit of the team that sends 80% of its rate.
+pub(crate) const WITHIN_RATE: Limit = Limit {
     rate: 100.0,
     burst: 40.0,
 };
 
-const GREEDY_LOAD: f64 = 5.0 * GREEDY.rate;
-const STEADY_LOAD: f64 = 0.8 * STEADY.rate;
+/// Load of the teams in requests per second.
+const OVER_RATE_LOAD: f64 = 5.0 * OVER_RATE.rate;
+const WITHIN_RATE_LOAD: f64 = 0.8 * WITHIN_RATE.rate;
 
 /// Number of VMs of the fleet at the start.
 pub(crate) const VMS: u8 = 4;
 
 /// A fleet whose share table is in effect, with the keys of its two teams.
-pub(crate) struct Scene {
+pub(crate) struct Setup {
     pub(crate) fleet: Fleet,
-    greedy: Key,
-    steady: Key,
+    over_rate_key: Key,
+    within_rate_key: Key,
 }
 
-impl Scene {
+impl Setup {
     /// Starts the fleet and waits until every VM has its share. A proxied fleet is
     /// in a single region.
     pub(crate) async fn start(proxied: bool) -> Self {
@@ -61,22 +62,22 @@
         };
         let config = fleet
             .config()
-            .replace("rate = 1000\nburst = 1000", &limit_text(GREEDY))
-            .replace("rate = 20\nburst = 20", &limit_text(STEADY));
+            .replace("rate = 1000\nburst = 1000", &limit_text(OVER_RATE))
+            .replace("rate = 20\nburst = 20", &limit_text(WITHIN_RATE));
         fleet.apply_text(&config).await;
-        let greedy = fleet.create_key("atelier").await;
-        let steady = fleet.create_key("outfitter").await;
-        let probe = |vm| serves(vm, steady.clone());
+        let over_rate_key = fleet.create_key("atelier").await;
+        let within_rate_key = fleet.create_key("outfitter").await;
+        let probe = |vm| serves(vm, within_rate_key.clone());
         fleet.wait_until(Duration::from_secs(10), probe).await;
-        let scene = Self {
+        let setup = Self {
             fleet,
-            greedy: Key::new(greedy),
-            steady: Key::new(steady),
+            over_rate_key: Key::new(over_rate_key),
+            within_rate_key: Key::new(within_rate_key),
         };
-        scene.wait_for_shares(usize::from(VMS)).await;
+        setup.wait_for_shares(usize::from(VMS)).await;
         // The buckets are full after burst / rate = 0.5 s.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        scene
+        setup
     }
 
     /// Waits until exactly `vms` VMs have units in the share table.
@@ -119,8 +120,13 @@
             ..TeamLoad::new(name, rate, vec![Kind::chart("chart"), Kind::order("chart")])
         };
         let teams = vec![
-            team("atelier", &self.greedy, GREEDY_LOAD, GREEDY),
-            team("outfitter", &self.steady, STEADY_LOAD, STEADY),
+            team("atelier", &self.over_rate_key, OVER_RATE_LOAD, OVER_RATE),
+            team(
+                "outfitter",
+                &self.within_rate_key,
+                WITHIN_RATE_LOAD,
+                WITHIN_RATE,
+            ),
         ];
         Load::new(LoadConfig {
             duration,
@@ -135,30 +141,30 @@
         let backends = &self.fleet.backends;
         let records: Vec<_> = backends.iter().map(BackendServer::records).collect();
         let joined = report.join(&records, JITTER);
-        let (greedy, steady) = (&report.teams["atelier"], &report.teams["outfitter"]);
+        let (over_rate, within_rate) = (&report.teams["atelier"], &report.teams["outfitter"]);
         println!(
-            "allowed refusals {allowed_refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
-             greedy served {} of {}, refused {:?}, within rate {}; {joined:?}",
-            steady.refused_within_rate,
-            steady.refused,
-            steady.lost,
-            steady.served,
-            steady.sent,
-            greedy.served,
-            greedy.sent,
-            greedy.refused,
-            greedy.refused_within_rate,
+            "team within its rate: allowed refusals {allowed_refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
+             team over its rate: served {} of {}, refused {:?}, within rate {}; {joined:?}",
+            within_rate.refused_within_rate,
+            within_rate.refused,
+            within_rate.lost,
+            within_rate.served,
+            within_rate.sent,
+            over_rate.served,
+            over_rate.sent,
+            over_rate.refused,
+            over_rate.refused_within_rate,
         );
         assert_eq!(joined.over_rate, 0, "{joined:?}");
         assert_eq!(joined.wrong_team, 0, "{joined:?}");
         assert_eq!(joined.ran_after_not_run, 0, "{joined:?}");
         assert_eq!(joined.repeated, 0, "{joined:?}");
         assert_eq!(joined.key_seen_by_backend, 0, "{joined:?}");
-        assert!(steady.served > 0 && greedy.served > 0);
+        assert!(within_rate.served > 0 && over_rate.served > 0);
         assert!(
-            steady.refused_within_rate as f64 <= allowed_refusals,
+            within_rate.refused_within_rate as f64 <= allowed_refusals,
             "{} requests within the rate were refused, but lost VMs explain at most {allowed_refusals}",
-            steady.refused_within_rate
+            within_rate.refused_within_rate
         );
     }
 }
@@ -166,7 +172,7 @@
 /// Returns the number of requests that one VM's base share of the team within its
 /// rate admits in `time`, starting with a full burst.
 pub(crate) fn requests_of_one_share(time: Duration) -> f64 {
-    (STEADY.burst + STEADY.rate * time.as_secs_f64()) / f64::from(VMS)
+    (WITHIN_RATE.burst + WITHIN_RATE.rate * time.as_secs_f64()) / f64::from(VMS)
 }
 
 /// Formats a limit as the lines of a team's table.
