--- a/crates/filbertgrade/tests/moves/lookups.rs
+++ b/crates/filbertgrade/tests/moves/lookups.rs
@@ -14,8 +14,8 @@
     client_blocks.north = [\"10.2.0.0/16\"]\n\
     client_blocks.south = [\"10.3.0.0/16\", \"2001:db8::/32\"]\n";
 
-/// Returns the names of the VMs in a client's lookup response, given by a VM that
-/// is itself `leaving` or not.
+/// Returns the names of the VMs in a client's lookup response. `leaving` is the
+/// name of the responding VM if it is leaving.
 fn names(view: &InForce, client: &str, leaving: Option<&str>) -> Vec<String> {
     let client: IpAddr = client.parse().unwrap();
     let leaving = leaving.map(|vm| VmName::try_from(vm).unwrap());
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -289,8 +289,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_follow_the_weights_when_all_vms_of_a_region_fail() {
     let mut loaded = LoadedFleet::start(Duration::from_secs(10)).await;
-    // Dropping a VM kills its processes. Its entry in the platform's list is
-    // removed just before.
+    // Dropping a VM kills its processes. Its entry is removed from the list just
+    // before, as if the platform detected the failure at once.
     let vms = std::mem::take(&mut loaded.fleet.vms);
     let (south, north): (Vec<_>, Vec<_>) = vms
         .into_iter()
