--- a/crates/filbertgrade/src/explain/line.rs
+++ b/crates/filbertgrade/src/explain/line.rs
@@ -1,6 +1,6 @@
-//! One log line.
+//! Parses a log line into its fields.
 
-/// A log line that holds an event.
+/// A log line with an `event=` field.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Line<'a> {
     text: &'a str,
@@ -8,12 +8,12 @@
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line; `None` when it holds no event. What a collector of logs
-    /// put before the line is left out.
-    pub(super) fn read(text: &'a str) -> Option<Self> {
+    /// Parses a line; `None` when it has no `level=` or no `event=` field. A
+    /// prefix before `level=`, such as a log collector adds, is ignored.
+    pub(super) fn parse(text: &'a str) -> Option<Self> {
         let start = text.find("level=")?;
         let text = &text[start..];
-        let event = find(text, "event")?;
+        let event = find_field(text, "event")?;
         Some(Self { text, event })
     }
 
@@ -21,38 +21,39 @@
         self.event
     }
 
-    /// The value of a field, without quotes.
+    /// The value of a field without its quotes; escapes within it are kept.
+    /// `None` when the line has no such field.
     pub(super) fn field(&self, name: &str) -> Option<&'a str> {
-        find(self.text, name)
+        find_field(self.text, name)
     }
 
-    /// Seconds since 1970.
-    pub(super) fn time(&self) -> Option<f64> {
+    /// The `ts=` field, in seconds since 1970.
+    pub(super) fn timestamp(&self) -> Option<f64> {
         self.field("ts")?.parse().ok()
     }
 }
 
-fn find<'a>(text: &'a str, name: &str) -> Option<&'a str> {
+fn find_field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let mut rest = text;
     loop {
         let at = rest.find(name)?;
-        let starts = at == 0 || rest.as_bytes()[at - 1] == b' ';
+        let is_start = at == 0 || rest.as_bytes()[at - 1] == b' ';
         let after = &rest[at + name.len()..];
         match after.strip_prefix('=') {
-            Some(value) if starts => return Some(value_of(value)),
+            Some(value) if is_start => return Some(field_value(value)),
             _ => rest = after,
         }
     }
 }
 
-fn value_of(text: &str) -> &str {
+fn field_value(text: &str) -> &str {
     match text.strip_prefix('"') {
         Some(quoted) => {
             let mut escaped = false;
             let end = quoted.find(|c| {
-                let ends = c == '"' && !escaped;
+                let closes = c == '"' && !escaped;
                 escaped = c == '\\' && !escaped;
-                ends
+                closes
             });
             &quoted[..end.unwrap_or(quoted.len())]
         }
--- a/crates/filbertgrade/src/explain/mod.rs
+++ b/crates/filbertgrade/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! The story of one request, from the logs of several processes.
+//! Reconstructs the history of one request from the logs of several processes.
 //!
-//! Logs are read line by line, so that their size does not matter. Kept are
-//! the lines that name the request, and what the process that wrote each of
-//! them had last logged of its beliefs.
+//! Logs are read line by line, so that their size does not matter. The lines
+//! with the id of the request are kept, and before them the context: the last
+//! line of each kind that shows in which state the process was.
 
 mod cause;
 mod line;
@@ -14,9 +14,9 @@
 
 use self::line::Line;
 
-/// Events that tell what a process believes. The last of each before a line of
-/// the request belongs to its story.
-const BELIEFS: [&str; 9] = [
+/// Events that show the state of a process, for example its configuration
+/// version. The last of each before a line of the request is kept as context.
+const CONTEXT_EVENTS: [&str; 9] = [
     "node_started",
     "configuration_in_force",
     "evacuations_in_force",
@@ -28,139 +28,153 @@
     "vm_suspended",
 ];
 
-/// Longest part of a line that is kept.
-const LONGEST_LINE: usize = 1_024;
+/// A longer line is truncated to this number of characters.
+const MAX_LINE_CHARS: usize = 1_024;
 
-/// Lines of one request that are kept; a request has a few dozen at most.
-const MOST_LINES: usize = 1_000;
+/// Once this number of lines is kept, no more are added. A request has a few
+/// dozen at most.
+const MAX_LINES: usize = 1_000;
 
-/// Bytes between two reports of progress.
+/// Progress is reported each time this number of bytes has been read.
 const PROGRESS_BYTES: u64 = 64 * 1024 * 1024;
 
-/// What the logs tell of one request.
+/// The log lines of one request and their context, with the cause derived from
+/// them. `Display` prints all of it.
 #[derive(Debug)]
-pub struct Story {
+pub struct RequestHistory {
     id: String,
-    lines: Vec<Told>,
-    /// Lines that hold no event.
-    bad_lines: u64,
-    bytes: u64,
+    lines: Vec<LogEntry>,
+    /// Number of lines that are not empty and have no event.
+    lines_without_event: u64,
+    bytes_read: u64,
 }
 
-/// A line, and the log that held it.
+/// A kept line, and the log that it comes from.
 #[derive(Clone, Debug)]
-struct Told {
+struct LogEntry {
     log: String,
-    /// Seconds since 1970, if the line tells them.
-    at: Option<f64>,
+    /// Seconds since 1970, if the line has a timestamp.
+    timestamp: Option<f64>,
     text: String,
-    belief: bool,
+    /// Whether the line is context rather than a line of the request.
+    is_context: bool,
 }
 
-impl Story {
-    /// Starts without a line.
+impl RequestHistory {
+    /// Creates an empty history of the request with this id.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.to_owned(),
             lines: Vec::new(),
-            bad_lines: 0,
-            bytes: 0,
+            lines_without_event: 0,
+            bytes_read: 0,
         }
     }
 
-    /// Reads a log. `progress` is told the bytes that were read so far.
+    /// Reads a log. `progress` is called from time to time with the number of
+    /// bytes that have been read from all logs so far.
     ///
     /// # Errors
     ///
     /// Fails when the log cannot be read. Lines that are not log lines are
-    /// counted and left out.
+    /// counted and skipped.
     pub fn read(
         &mut self,
         log: &str,
-        mut from: impl BufRead,
+        mut reader: impl BufRead,
         mut progress: impl FnMut(u64),
     ) -> io::Result<()> {
-        let mut beliefs: IndexMap<String, Told> = IndexMap::new();
-        let mut reported = self.bytes;
+        let mut context: IndexMap<String, LogEntry> = IndexMap::new();
+        let mut reported = self.bytes_read;
         let mut buf = Vec::new();
         loop {
             buf.clear();
-            let len = from.read_until(b'\n', &mut buf)?;
+            let len = reader.read_until(b'\n', &mut buf)?;
             if len == 0 {
                 return Ok(());
             }
-            self.bytes += len as u64;
-            if self.bytes - reported >= PROGRESS_BYTES {
-                reported = self.bytes;
-                progress(self.bytes);
+            self.bytes_read += len as u64;
+            if self.bytes_read - reported >= PROGRESS_BYTES {
+                reported = self.bytes_read;
+                progress(self.bytes_read);
             }
             let text = String::from_utf8_lossy(&buf);
-            self.take(log, text.trim_end(), &mut beliefs);
+            self.add_line(log, text.trim_end(), &mut context);
         }
     }
 
-    fn take(&mut self, log: &str, text: &str, beliefs: &mut IndexMap<String, Told>) {
-        let Some(line) = Line::read(text) else {
-            self.bad_lines += u64::from(!text.is_empty());
+    fn add_line(&mut self, log: &str, text: &str, context: &mut IndexMap<String, LogEntry>) {
+        let Some(line) = Line::parse(text) else {
+            self.lines_without_event += u64::from(!text.is_empty());
             return;
         };
-        let told = |belief| Told {
+        let entry = |is_context| LogEntry {
             log: log.to_owned(),
-            at: line.time(),
-            text: text.chars().take(LONGEST_LINE).collect(),
-            belief,
+            timestamp: line.timestamp(),
+            text: text.chars().take(MAX_LINE_CHARS).collect(),
+            is_context,
         };
-        if BELIEFS.contains(&line.event()) {
-            beliefs.insert(line.event().to_owned(), told(true));
+        if CONTEXT_EVENTS.contains(&line.event()) {
+            context.insert(line.event().to_owned(), entry(true));
         }
-        if line.field("id") != Some(&self.id) || self.lines.len() >= MOST_LINES {
+        if line.field("id") != Some(&self.id) || self.lines.len() >= MAX_LINES {
             return;
         }
-        // Each belief is told once, before the first line that it bears on.
-        self.lines
-            .extend(beliefs.drain(..).map(|(_, belief)| belief));
-        self.lines.push(told(false));
+        // Each line of context is added once, before the first line of the
+        // request that follows it.
+        self.lines.extend(context.drain(..).map(|(_, entry)| entry));
+        self.lines.push(entry(false));
     }
 
-    /// No log names the request.
+    /// Whether no line with the id of the request was read.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 
     /// Why the request ended as it did, in a sentence; `None` when the lines do
-    /// not tell it.
+    /// not show it.
     pub fn cause(&self) -> Option<String> {
-        let own = self.in_order().into_iter().filter(|told| !told.belief);
-        let lines: Vec<Line<'_>> = own.filter_map(|told| Line::read(&told.text)).collect();
+        let of_request = self
+            .sorted_by_time()
+            .into_iter()
+            .filter(|entry| !entry.is_context);
+        let lines: Vec<Line<'_>> = of_request
+            .filter_map(|entry| Line::parse(&entry.text))
+            .collect();
         cause::of(&lines)
     }
 
-    /// Lines in the order of time. Lines without a time stay in the order in
-    /// which their log holds them.
-    fn in_order(&self) -> Vec<&Told> {
-        let mut lines: Vec<&Told> = self.lines.iter().collect();
-        if lines.iter().all(|told| told.at.is_some()) {
-            lines.sort_by(|a, b| a.at.partial_cmp(&b.at).unwrap_or(std::cmp::Ordering::Equal));
+    /// The lines in the order of their timestamps, or in the order in which
+    /// they were read when any of them has no timestamp.
+    fn sorted_by_time(&self) -> Vec<&LogEntry> {
+        let mut lines: Vec<&LogEntry> = self.lines.iter().collect();
+        if lines.iter().all(|entry| entry.timestamp.is_some()) {
+            lines.sort_by(|a, b| {
+                a.timestamp
+                    .partial_cmp(&b.timestamp)
+                    .unwrap_or(std::cmp::Ordering::Equal)
+            });
         }
         lines
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestHistory {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for told in self.in_order() {
-            let mark = if told.belief { "believed " } else { "" };
-            writeln!(f, "{}: {mark}{}", told.log, told.text)?;
+        for entry in self.sorted_by_time() {
+            // The word that marks a line of context.
+            let mark = if entry.is_context { "believed " } else { "" };
+            writeln!(f, "{}: {mark}{}", entry.log, entry.text)?;
         }
         match self.cause() {
             Some(cause) => writeln!(f, "cause: {cause}")?,
-            None if self.is_empty() => writeln!(f, "no line names {}", self.id)?,
-            None => writeln!(f, "cause: the lines do not tell it")?,
+            None if self.is_empty() => writeln!(f, "no line has the id {}", self.id)?,
+            None => writeln!(f, "cause: unknown, the lines do not show it")?,
         }
         write!(
             f,
             "{} bytes read, {} lines without an event",
-            self.bytes, self.bad_lines
+            self.bytes_read, self.lines_without_event
         )
     }
 }
--- a/crates/filbertgrade/src/lib.rs
+++ b/crates/filbertgrade/src/lib.rs
@@ -3,16 +3,16 @@
 //!
 //! Every VM of a deployment runs two processes of this crate's one binary:
 //!
-//! * the *entry* answers callers' look-ups and carries their requests to
+//! * the *entry* answers callers' look-ups and forwards their requests to
 //!   backend servers;
 //! * the *agent* watches the platform's object API, exchanges state with the
-//!   agents of other VMs and feeds the entry of its own VM.
+//!   agents of other VMs and sends updates to the entry of its own VM.
 //!
-//! Operators describe a deployment in a declarative file, which is applied as
-//! a whole: see [`version::Config`]. What the processes exchange is in
-//! [`wire`], what the platform must offer in [`platform`].
+//! Operators describe a deployment in declarative files, which are applied as a
+//! whole: see [`version::Config`]. The messages between the processes are in
+//! [`wire`], the interface to the platform in [`platform`].
 //!
-//! `docs/design.md` holds the design and its reasons.
+//! `docs/design.md` explains the design and its reasons.
 
 pub mod connection;
 pub mod explain;
--- a/crates/filbertgrade/src/main.rs
+++ b/crates/filbertgrade/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary: daemons and operators' commands.
+//! The `filbertgrade` binary: daemons and operators' commands.
 
 use std::process::ExitCode;
 
@@ -18,10 +18,12 @@
     code
 }
 
-/// Typed errors name their cause themselves, so the chain is not printed.
+/// Prints an error and returns the exit code. The messages of typed errors
+/// contain their cause, so the error chain is not printed.
 fn report(error: &anyhow::Error) -> ExitCode {
     match error.downcast_ref::<CommandError>() {
-        // Each line starts with file and line, as editors expect it.
+        // Each line of the message starts with `file:line:`, which editors
+        // parse.
         Some(CommandError::Invalid(faults)) => eprintln!("{faults}"),
         _ => eprintln!("filbertgrade: {error}"),
     }
@@ -30,12 +32,12 @@
         .map_or(ExitCode::FAILURE, |error| error.exit_code().into())
 }
 
-/// Port of a node for operators and metrics, unless a flag names another one.
-const METRICS_PORT: u16 = 9464;
+/// Default port of a node for operators and metrics.
+const DEFAULT_METRICS_PORT: u16 = 9464;
 
 fn run(flags: Filbertgrade) -> anyhow::Result<ExitCode> {
     let mut runtime = match flags.subcommand {
-        // A VM of a platform has a part of one core.
+        // A VM of the platform has only a fraction of one CPU core.
         FilbertgradeCmd::Node(_) => tokio::runtime::Builder::new_current_thread(),
         _ => tokio::runtime::Builder::new_multi_thread(),
     };
@@ -52,7 +54,7 @@
             }
             FilbertgradeCmd::Agent(flags) => agent::run(flags.settings()?).await?,
             FilbertgradeCmd::Node(flags) => {
-                let port = flags.metrics_port.unwrap_or(METRICS_PORT);
+                let port = flags.metrics_port.unwrap_or(DEFAULT_METRICS_PORT);
                 node::run(flags.settings, port).await?;
             }
             FilbertgradeCmd::Dev(flags) => command::dev(&flags).await?,
@@ -62,9 +64,10 @@
     })
 }
 
-/// One line for each event: level, module, time, then `event=` and its fields.
+/// Initializes logging. Each event is one line: level, module, time, then
+/// `event=` and its fields.
 ///
-/// Daemons log at level info by default, commands only failures.
+/// By default, daemons log at level info and commands at level error.
 fn init_logs(command: &FilbertgradeCmd) {
     let daemon = matches!(
         command,
--- a/crates/filbertgrade/src/process/agent/dump.rs
+++ b/crates/filbertgrade/src/process/agent/dump.rs
@@ -17,10 +17,10 @@
         0 => Err("no revision is held"),
         _ => Ok(()),
     })
-    .gauges(move || set_gauges(&gauges))
-    .part("process", move || describe(&process))
-    .part("regions", move || freshness(&regions))
-    .part("vms", move || listed(&vms))
+    .refresh_gauges(move || set_gauges(&gauges))
+    .dump_section("process", move || describe(&process))
+    .dump_section("regions", move || freshness(&regions))
+    .dump_section("vms", move || listed(&vms))
 }
 
 fn set_gauges(agent: &Agent) {
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -23,7 +23,7 @@
 use crate::connection::serve_frames;
 use crate::platform::{HttpPlatform, Platform, Revision};
 use crate::process::operator;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::sync::lock;
 use crate::version::{OutgoingDeltas, VmRecord};
 use crate::wire::Report;
@@ -62,7 +62,7 @@
 /// State of the agent that all its tasks share.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    pub(crate) settings: NodeSettings,
+    pub(crate) settings: VmSettings,
     pub(crate) platform: Arc<dyn Platform>,
     state: Mutex<State>,
     /// Agents that pulled while there was no VM list, the newest first.
@@ -134,7 +134,7 @@
 }
 
 impl Agent {
-    fn new(settings: NodeSettings, platform: Arc<dyn Platform>) -> Self {
+    fn new(settings: VmSettings, platform: Arc<dyn Platform>) -> Self {
         let state = State {
             objects: VersionedMap::new(CHANGE_LOG),
             freshness: FreshnessTracker::new(settings.region.clone()),
@@ -212,7 +212,7 @@
 /// # Errors
 ///
 /// Fails when an address cannot be bound.
-pub async fn run(settings: NodeSettings) -> Result<(), AgentError> {
+pub async fn run(settings: VmSettings) -> Result<(), AgentError> {
     let address = SocketAddr::new(settings.address, settings.ports.agent_peer);
     let listener = TcpListener::bind(address)
         .await
--- a/crates/filbertgrade/src/process/command/apply.rs
+++ b/crates/filbertgrade/src/process/command/apply.rs
@@ -1,4 +1,5 @@
-//! `apply` and `diff`: put a configuration in force as a whole.
+//! `apply` puts a configuration in force as a whole; `diff` shows what it would
+//! change.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -17,13 +18,15 @@
     AppliedVersion, CONFIG_ROOT, Config, ConfigRoot, KeyRecord, KeyState, RECENT_APPLIES, VmRecord,
 };
 
-/// Writes the configuration's parts, then makes them visible by one
-/// conditional update.
+/// Writes the parts of the configuration, then makes them visible with one
+/// conditional write of the root. With `wait`, returns once the version is in
+/// force on every live VM.
 ///
 /// # Errors
 ///
-/// Fails without effect when a file is invalid, when it would break what
-/// runs, or when another operator's version was accepted first.
+/// Fails without effect when a file is invalid, when the configuration would
+/// remove something that is in use, or when another operator's version was
+/// accepted first. The other errors are listed at [`CommandError`].
 pub(super) async fn apply(
     files: &[PathBuf],
     settings: &CommandSettings,
@@ -31,7 +34,7 @@
 ) -> Result<(), CommandError> {
     let config = stored::read_files(files)?;
     let platform = HttpPlatform::new(settings.store, None);
-    let outcome = put_in_force(&platform, &config).await?;
+    let outcome = apply_config(&platform, &config).await?;
     println!("{outcome}");
     let version = outcome.version();
     if wait {
@@ -45,7 +48,7 @@
     Ok(())
 }
 
-/// Prints by key path what the files would change.
+/// Prints the keys that the files would change, by key path.
 ///
 /// # Errors
 ///
@@ -73,26 +76,24 @@
     Ok(())
 }
 
-/// Applies the text of one file and returns its version.
+/// Applies the text of one configuration file and returns the version that has
+/// this content.
 pub(crate) async fn apply_text(platform: &dyn Platform, text: &str) -> Result<u64, CommandError> {
-    let outcome = put_in_force(platform, &Config::parse(text)?).await?;
+    let outcome = apply_config(platform, &Config::parse(text)?).await?;
     Ok(outcome.version())
 }
 
-/// What became of an apply that did not fail.
+/// Result of an apply that succeeded.
 #[derive(Debug)]
 enum Outcome {
-    Unchanged {
-        version: u64,
-    },
-    Accepted {
-        version: u64,
-    },
-    /// The answer was lost; the root is at version `now`.
-    Found {
-        version: u64,
-        now: u64,
-    },
+    /// The version in force already had this content; nothing was written.
+    Unchanged { version: u64 },
+    /// The store confirmed the write of the root.
+    Accepted { version: u64 },
+    /// The response of the store was lost, but the root shows that the write
+    /// took effect. The root is at version `now`, which is newer than `version`
+    /// if another apply has followed.
+    Found { version: u64, now: u64 },
 }
 
 impl Outcome {
@@ -127,7 +128,7 @@
     }
 }
 
-async fn put_in_force(platform: &dyn Platform, config: &Config) -> Result<Outcome, CommandError> {
+async fn apply_config(platform: &dyn Platform, config: &Config) -> Result<Outcome, CommandError> {
     let StoredRoot { root, condition } = stored::read_root(platform).await?;
     let parts = stored::parts(config);
     let digests: Vec<String> = parts.iter().map(|(digest, _)| digest.clone()).collect();
@@ -136,22 +137,22 @@
             let version = root.version;
             return Ok(Outcome::Unchanged { version });
         }
-        check_running(platform, root, config).await?;
+        check_in_use(platform, root, config).await?;
     }
-    let former = match &root {
-        Some(_) => former_parts(platform, &digests).await,
+    let obsolete = match &root {
+        Some(_) => obsolete_parts(platform, &digests).await,
         None => Vec::new(),
     };
     write_parts(platform, root.as_ref(), condition, &parts).await?;
     let next = next_root(root.as_ref(), digests);
     let version = next.version;
     let value = encode(CONFIG_ROOT, &next)?;
-    let own = |object: &Object| applied_version(object, &next.apply_id).is_some();
+    let is_own = |object: &Object| applied_version(object, &next.apply_id).is_some();
     let version_of = |object: Option<Object>| {
         let value = object.and_then(|object| object.value).unwrap_or_default();
         stored::decode_root(&value).map(|root| root.version)
     };
-    let outcome = match write(platform, CONFIG_ROOT, value, condition, own).await? {
+    let outcome = match write(platform, CONFIG_ROOT, value, condition, is_own).await? {
         Written::Answered(_) => Outcome::Accepted { version },
         Written::Found(object) => Outcome::Found {
             version,
@@ -162,31 +163,32 @@
             return Err(CommandError::Conflict { winner });
         }
     };
-    remove_parts(platform, &former).await;
+    remove_parts(platform, &obsolete).await;
     Ok(outcome)
 }
 
 /// Parts in the store that the next root does not name, with their revisions.
-/// Without an answer there are none, and the next apply removes them.
-async fn former_parts(platform: &dyn Platform, next: &[String]) -> Vec<(String, Revision)> {
+/// Empty when the store does not answer; the next apply then removes them.
+async fn obsolete_parts(platform: &dyn Platform, next: &[String]) -> Vec<(String, Revision)> {
     let listed = platform.list(&[&stored::part_name("")]).await;
     let objects = listed.map(|listed| listed.objects).unwrap_or_default();
     let named: BTreeSet<String> = next.iter().map(|part| stored::part_name(part)).collect();
-    let former = objects.into_iter();
-    former
+    let objects = objects.into_iter();
+    objects
         .filter(|object| !named.contains(&object.name))
         .map(|object| (object.name, object.revision))
         .collect()
 }
 
 /// Removes parts that were listed before the new root was written. Every agent
-/// holds all parts, so they must not pile up.
+/// keeps all parts in memory, so obsolete ones must not accumulate.
 ///
-/// An apply that builds on the new root writes each part anew that the root
-/// does not name, so a part that it relies on is no longer at the revision
-/// listed. An apply that builds on an older root conflicts.
-async fn remove_parts(platform: &dyn Platform, former: &[(String, Revision)]) {
-    for (name, revision) in former {
+/// The removal is conditional on the listed revision, so it cannot delete a
+/// part that a concurrent apply needs: an apply that builds on the new root
+/// rewrites each part that this root does not name, which changes its revision.
+/// An apply that builds on an older root fails with a conflict.
+async fn remove_parts(platform: &dyn Platform, obsolete: &[(String, Revision)]) {
+    for (name, revision) in obsolete {
         match platform.delete(name, *revision).await {
             Ok(_) => {}
             Err(error) if error.is_conflict() => {}
@@ -195,6 +197,8 @@
     }
 }
 
+/// The root that follows `root`, with a new random apply id. It lists the most
+/// recent applies, so that an apply whose response was lost finds its own.
 fn next_root(root: Option<&ConfigRoot>, parts: Vec<String>) -> ConfigRoot {
     let version = root.map_or(0, |root| root.version) + 1;
     let apply_id = format!("{:032x}", rand::random::<u128>());
@@ -213,7 +217,8 @@
     }
 }
 
-/// The version that an apply wrote, if the root or its recent applies name it.
+/// The version that the apply with this id wrote, if the root lists it among
+/// its recent applies.
 fn applied_version(object: &Object, apply_id: &str) -> Option<u64> {
     let root: ConfigRoot = serde_json::from_slice(object.value.as_deref()?).ok()?;
     let mut recent = root.recent.iter();
@@ -221,8 +226,9 @@
     applied.map(|applied| applied.version)
 }
 
-/// Writes the parts that `root` does not name, also those that exist already:
-/// another apply may be about to remove them, see [`remove_parts`].
+/// Writes the parts that `root` does not name. Those that exist already are
+/// rewritten, because another apply may be about to remove them, see
+/// [`remove_parts`].
 async fn write_parts(
     platform: &dyn Platform,
     root: Option<&ConfigRoot>,
@@ -239,12 +245,13 @@
         }
         let name = stored::part_name(digest);
         let value = Bytes::copy_from_slice(text.as_bytes());
-        // The name is the digest, so whoever wrote the object after the root,
-        // it has this content and is not removed.
-        let own = |object: &Object| object.revision > base;
-        match write(platform, &name, value, Condition::Always, own).await {
+        // The name contains the digest, so an object that any apply wrote after
+        // the root has this content. Its new revision protects it from removal.
+        let is_own = |object: &Object| object.revision > base;
+        match write(platform, &name, value, Condition::Always, is_own).await {
             Ok(_) => {}
-            // A part makes nothing visible.
+            // Nothing has taken effect, because parts are not visible before
+            // the root names them.
             Err(CommandError::Unknown(error)) => return Err(CommandError::Store(error)),
             Err(error) => return Err(error),
         }
@@ -252,17 +259,17 @@
     Ok(())
 }
 
-/// Refuses a configuration that takes something away which is in use.
-async fn check_running(
+/// Refuses a configuration that removes something that is in use.
+async fn check_in_use(
     platform: &dyn Platform,
     root: &ConfigRoot,
     next: &Config,
 ) -> Result<(), CommandError> {
     let now = match stored::read_config(platform, root).await {
         Ok(config) => config,
-        // A configuration that nobody can read must not block its repair.
+        // An unreadable configuration in force must not prevent its repair.
         Err(CommandError::Malformed { name, cause }) => {
-            eprintln!("not compared with what is in force: {name}: {cause}");
+            eprintln!("not compared with the configuration in force: {name}: {cause}");
             return Ok(());
         }
         Err(error) => return Err(error),
@@ -276,6 +283,8 @@
     }
 }
 
+/// Messages for everything in use that `next` would remove from `now`. `listed`
+/// contains the objects of the VMs and the keys.
 fn refusals(now: &Config, next: &Config, listed: &Changes) -> Vec<String> {
     let mut refusals = Vec::new();
     if now.deployment != next.deployment {
@@ -288,7 +297,7 @@
     for object in &listed.objects {
         let value = object.value.as_deref().unwrap_or_default();
         if object.name.starts_with("vms/") {
-            refusals.extend(VmRecord::decode(value).and_then(|vm| lost_place(now, next, &vm)));
+            refusals.extend(VmRecord::decode(value).and_then(|vm| lost_domain(now, next, &vm)));
         } else if let Ok(key) = serde_json::from_slice::<KeyRecord>(value)
             && key.state == KeyState::Granted
             && let Ok(team) = TeamName::try_from(key.team.as_str())
@@ -304,11 +313,12 @@
     refusals
 }
 
-/// Why the next configuration has no place for a VM that has one now.
-fn lost_place(now: &Config, next: &Config, vm: &VmRecord) -> Option<String> {
+/// A message if the failure domain of a live VM is in `now`, but not in the
+/// same region of `next`.
+fn lost_domain(now: &Config, next: &Config, vm: &VmRecord) -> Option<String> {
     let (region, domain) = (&vm.region, &vm.failure_domain);
-    let has_place = |cfg: &Config| cfg.region_of(domain) == Some(region);
-    (vm.is_live() && has_place(now) && !has_place(next)).then(|| {
+    let has_domain = |cfg: &Config| cfg.region_of(domain) == Some(region);
+    (vm.is_live() && has_domain(now) && !has_domain(next)).then(|| {
         format!(
             "regions.{region}.failure_domains: {domain} removed while VM {} is live",
             vm.name
--- a/crates/filbertgrade/src/process/command/check.rs
+++ b/crates/filbertgrade/src/process/command/check.rs
@@ -1,14 +1,14 @@
-//! `check`: validates configuration files without a platform.
+//! `check`: validates configuration files without access to a platform.
 
 use std::path::PathBuf;
 
 use super::{CommandError, stored};
 
-/// Reads and checks files as one configuration.
+/// Reads the files and validates them as one configuration.
 ///
 /// # Errors
 ///
-/// Lists every fault of the files.
+/// Fails when a file cannot be read, or with all faults of the configuration.
 pub(super) fn check(files: &[PathBuf]) -> Result<(), CommandError> {
     stored::read_files(files).map(|_| ())
 }
--- a/crates/filbertgrade/src/process/command/dev/deployment.rs
+++ b/crates/filbertgrade/src/process/command/dev/deployment.rs
@@ -1,4 +1,5 @@
-//! All parts of a deployment in one process.
+//! Starts a whole deployment in one process, with proxies that simulate the
+//! network.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,13 +19,13 @@
 use crate::platform::HttpPlatform;
 use crate::process::command::CommandError;
 use crate::process::command::apply::apply_text;
-use crate::process::settings::{NodeSettings, Ports};
+use crate::process::settings::{Ports, VmSettings};
 use crate::process::{agent, entry};
 use crate::version::{Config, ConfigError, KeyRecord, KeySecret, KeyState, VmRecord, VmState};
 use crate::wire::{Body, StatusRequest};
 
-/// Longest time for the configuration to be in force everywhere.
-const READY_WITHIN: Duration = Duration::from_secs(30);
+/// Time limit for the configuration to be in force everywhere.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Service times of the backend servers.
 const SERVICE_TIME: ServiceTime = ServiceTime::Uniform {
@@ -32,12 +33,16 @@
     max: Duration::from_millis(80),
 };
 
-/// Second octets of the loopback addresses that stand for VMs: where their
-/// processes listen, and where others reach them through the network.
-const VM_OCTET: u8 = 40;
-const NETWORK_OCTET: u8 = 41;
+/// Second octet of the loopback addresses on which the processes of the VMs
+/// listen.
+const PROCESS_OCTET: u8 = 40;
 
-/// Address of the store.
+/// Second octet of the loopback addresses that the VM list contains. Proxies
+/// listen on them and forward to the processes.
+const PROXY_OCTET: u8 = 41;
+
+/// Address of the proxy in front of the store. The store itself listens on the
+/// next port.
 const STORE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 42, 0, 1)), 6000);
 
 /// Why `dev` failed.
@@ -55,7 +60,7 @@
     /// The file is not a valid configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An address is in use, perhaps by another run.
+    /// An address cannot be bound; it may be in use by another run.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
@@ -63,30 +68,30 @@
         /// The cause.
         source: io::Error,
     },
-    /// The configuration was not accepted.
+    /// The configuration could not be applied.
     #[error(transparent)]
     Apply(#[from] CommandError),
-    /// A name of a VM is malformed.
+    /// The name generated for a VM is invalid.
     #[error(transparent)]
     Name(#[from] NameError),
-    /// The random source failed.
-    #[error("no random numbers: {0}")]
+    /// The random number generator of the operating system failed.
+    #[error("cannot generate random numbers: {0}")]
     Random(#[from] getrandom::Error),
-    /// A record cannot be written.
+    /// The record of a key cannot be encoded.
     #[error(transparent)]
     Record(#[from] serde_json::Error),
-    /// A process did not come up.
-    #[error("the configuration is not in force everywhere after {} s", READY_WITHIN.as_secs())]
+    /// The configuration was not in force everywhere in time.
+    #[error("the configuration is not in force everywhere after {} s", READY_TIMEOUT.as_secs())]
     NotReady,
-    /// Counts that must be zero are not.
-    #[error("promises broken: {0}")]
-    Broken(String),
-    /// The load stopped early.
-    #[error("the load stopped: {0}")]
+    /// Counts in the report that must be zero are not.
+    #[error("counts that must be zero: {0}")]
+    Violations(String),
+    /// The task that sends the traffic failed.
+    #[error("the traffic stopped early: {0}")]
     Load(tokio::task::JoinError),
 }
 
-/// A running deployment. Dropping it ends all of its tasks.
+/// A running deployment. Dropping it aborts all of its tasks.
 #[derive(Debug)]
 pub(super) struct Deployment {
     config: Config,
@@ -94,31 +99,35 @@
     servers: Vec<Server>,
     vms: Vec<VmRecord>,
     keys: HashMap<TeamName, Key>,
-    _network: Vec<FaultProxy>,
-    /// Proxies that carry only control traffic, with the region behind them.
-    control: Vec<(RegionName, FaultProxy)>,
+    /// Proxies that carry requests, kept running until the deployment is
+    /// dropped.
+    _request_proxies: Vec<FaultProxy>,
+    /// Proxies that carry only control traffic, with the region of the process
+    /// behind them.
+    control_proxies: Vec<(RegionName, FaultProxy)>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
-/// One backend server.
+/// A backend server and its position in the deployment.
 #[derive(Debug)]
 struct Server {
-    /// Address that the configuration names.
+    /// Address in the configuration, on which a proxy listens.
     address: SocketAddr,
     region: RegionName,
     slots: u32,
     backend: BackendServer,
 }
 
-/// A place in the network.
+/// Position of a process in the network. The store has no failure domain.
 #[derive(Clone, Debug)]
-struct Place {
+struct Location {
     region: RegionName,
     domain: Option<FailureDomainName>,
 }
 
 impl Deployment {
-    /// Starts everything, and applies the configuration.
+    /// Starts the platform, the backend servers and the processes of the VMs,
+    /// and applies the configuration.
     pub(super) async fn start(
         config: Config,
         text: &str,
@@ -126,16 +135,16 @@
         seed: u64,
     ) -> Result<Self, DevError> {
         let vms = place_vms(&config, vms)?;
-        let links = Links::new(&config, &vms);
+        let network = Network::new(&config, &vms);
         let real_store = SocketAddr::new(STORE.ip(), STORE.port() + 1);
         let platform = PlatformServer::bind(real_store)
             .await
             .map_err(|source| listen_error(real_store, source))?;
-        let store_place = links.store_place();
-        let store_proxy = links.proxy(STORE, real_store, &store_place).await?;
-        let mut control = vec![(store_place.region, store_proxy)];
-        let mut network = Vec::new();
-        let servers = start_servers(&config, &links, seed, &mut network).await?;
+        let store_location = network.store_location();
+        let store_proxy = network.proxy(STORE, real_store, &store_location).await?;
+        let mut control_proxies = vec![(store_location.region, store_proxy)];
+        let mut request_proxies = Vec::new();
+        let servers = start_servers(&config, &network, seed, &mut request_proxies).await?;
         for vm in &vms {
             platform.put(&format!("vms/{}", vm.name), vm.encode());
         }
@@ -143,7 +152,7 @@
         apply_text(&HttpPlatform::new(real_store, None), text).await?;
         let mut tasks = Vec::new();
         for vm in &vms {
-            let place = Place {
+            let location = Location {
                 region: vm.region.clone(),
                 domain: Some(vm.failure_domain.clone()),
             };
@@ -151,11 +160,11 @@
             for port in [ports.caller, ports.entry_peer, ports.agent_peer] {
                 let listen = SocketAddr::new(vm.address, port);
                 let forward = SocketAddr::new(process_address(vm.address), port);
-                let proxy = links.proxy(listen, forward, &place).await?;
+                let proxy = network.proxy(listen, forward, &location).await?;
                 if port == ports.caller {
-                    network.push(proxy);
+                    request_proxies.push(proxy);
                 } else {
-                    control.push((vm.region.clone(), proxy));
+                    control_proxies.push((vm.region.clone(), proxy));
                 }
             }
             tasks.extend(start_vm(vm, STORE, ports));
@@ -166,20 +175,21 @@
             servers,
             vms,
             keys,
-            _network: network,
-            control,
+            _request_proxies: request_proxies,
+            control_proxies,
             tasks,
         })
     }
 
-    /// Waits until every entry has the configuration and its share in effect.
+    /// Waits until every entry has received a configuration and a share table.
+    /// Returns the time that this took.
     pub(super) async fn wait_until_ready(&self) -> Result<Duration, DevError> {
         let start = Instant::now();
         for vm in &self.vms {
             let address = SocketAddr::new(process_address(vm.address), Ports::default().agent_peer);
             let link = PeerLink::new(address, None);
             while !is_ready(&link).await {
-                if start.elapsed() > READY_WITHIN {
+                if start.elapsed() > READY_TIMEOUT {
                     return Err(DevError::NotReady);
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -196,7 +206,7 @@
         self.keys.get(team).cloned()
     }
 
-    /// Addresses of the callers' ports.
+    /// Addresses of the VMs for callers.
     pub(super) fn vm_addresses(&self) -> Vec<SocketAddr> {
         let port = Ports::default().caller;
         let address = |vm: &VmRecord| SocketAddr::new(vm.address, port);
@@ -207,7 +217,8 @@
         self.servers.iter().map(|server| server.address).collect()
     }
 
-    /// What the backend servers observed.
+    /// The records of the backend servers, in the order of
+    /// [`Self::server_addresses`].
     pub(super) fn records(&self) -> Vec<BackendRecords> {
         self.servers
             .iter()
@@ -215,11 +226,11 @@
             .collect()
     }
 
-    /// Bytes of control traffic so far on each link, one way: between VMs,
-    /// and between VMs and the store.
+    /// Bytes of control traffic between regions so far, by direction: between
+    /// VMs, and between VMs and the store.
     pub(super) fn control_bytes(&self) -> IndexMap<String, u64> {
         let mut bytes = IndexMap::new();
-        for (region, proxy) in &self.control {
+        for (region, proxy) in &self.control_proxies {
             for vm in self.vms.iter().filter(|vm| vm.region != *region) {
                 let counts = proxy.counts_from(process_address(vm.address));
                 let mut add = |from: &RegionName, to: &RegionName, count| {
@@ -247,7 +258,7 @@
             .collect()
     }
 
-    /// Index of the server that is drained.
+    /// Index of the server that [`Self::drain_first_server`] drains.
     pub(super) fn first_server(&self) -> usize {
         0
     }
@@ -266,17 +277,18 @@
     }
 }
 
-/// Latency and bandwidth between places.
+/// The simulated network: latency and bandwidth between locations.
 #[derive(Debug)]
-struct Links {
+struct Network {
     config: Config,
-    /// Where connections from each address come from.
-    sources: Vec<(IpAddr, Place)>,
+    /// Locations of the VM processes, by the source address of their
+    /// connections.
+    sources: Vec<(IpAddr, Location)>,
     /// Bandwidth from one region to another, shared by all traffic.
     bandwidth: HashMap<(RegionName, RegionName), Bandwidth>,
 }
 
-impl Links {
+impl Network {
     fn new(config: &Config, vms: &[VmRecord]) -> Self {
         let bytes_per_second = config.network.region_bandwidth_mbit * 1_000_000 / 8;
         let regions: Vec<&RegionName> = config.regions.keys().collect();
@@ -289,11 +301,11 @@
             sources: vms
                 .iter()
                 .map(|vm| {
-                    let place = Place {
+                    let location = Location {
                         region: vm.region.clone(),
                         domain: Some(vm.failure_domain.clone()),
                     };
-                    (process_address(vm.address), place)
+                    (process_address(vm.address), location)
                 })
                 .collect(),
             bandwidth: pairs
@@ -305,20 +317,20 @@
         }
     }
 
-    fn store_place(&self) -> Place {
-        Place {
+    fn store_location(&self) -> Location {
+        Location {
             region: self.config.network.store_region.clone(),
             domain: None,
         }
     }
 
-    /// A proxy in front of something at `place`. Connections from addresses
-    /// that are no VMs' come from clients.
+    /// Starts a proxy in front of a process at `location`. Connections from
+    /// unknown addresses are those of clients and get the client latency.
     async fn proxy(
         &self,
         listen: SocketAddr,
         forward: SocketAddr,
-        place: &Place,
+        location: &Location,
     ) -> Result<FaultProxy, DevError> {
         let proxy = FaultProxy::bind(listen, forward)
             .await
@@ -331,15 +343,16 @@
             proxy.set_fault(direction, client.clone());
         }
         for (source, from) in &self.sources {
-            let there = self.fault(from, place);
-            let back = self.fault(place, from);
-            proxy.set_fault_from(*source, Direction::ToServer, there);
-            proxy.set_fault_from(*source, Direction::ToClient, back);
+            let to_server = self.fault(from, location);
+            let to_client = self.fault(location, from);
+            proxy.set_fault_from(*source, Direction::ToServer, to_server);
+            proxy.set_fault_from(*source, Direction::ToClient, to_client);
         }
         Ok(proxy)
     }
 
-    fn fault(&self, from: &Place, to: &Place) -> Fault {
+    /// The latency and bandwidth of one direction between two locations.
+    fn fault(&self, from: &Location, to: &Location) -> Fault {
         let network = &self.config.network;
         let delay = if from.region != to.region {
             network.region_latency
@@ -357,11 +370,12 @@
     }
 }
 
+/// Starts the backend servers of the configuration, each behind a proxy.
 async fn start_servers(
     config: &Config,
-    links: &Links,
+    network: &Network,
     seed: u64,
-    network: &mut Vec<FaultProxy>,
+    request_proxies: &mut Vec<FaultProxy>,
 ) -> Result<Vec<Server>, DevError> {
     let mut servers = Vec::new();
     for service in config.services.values() {
@@ -369,7 +383,7 @@
             let Some(region) = config.region_of(domain) else {
                 continue;
             };
-            let real = SocketAddr::new(address.ip(), address.port() + 1);
+            let listen = SocketAddr::new(address.ip(), address.port() + 1);
             let cfg = BackendConfig {
                 name: address.to_string(),
                 slots: service.slots as usize,
@@ -378,14 +392,14 @@
                 seed: seed + servers.len() as u64,
                 ..BackendConfig::default()
             };
-            let backend = BackendServer::bind(real, cfg)
+            let backend = BackendServer::bind(listen, cfg)
                 .await
-                .map_err(|source| listen_error(real, source))?;
-            let place = Place {
+                .map_err(|source| listen_error(listen, source))?;
+            let location = Location {
                 region: region.clone(),
                 domain: Some(domain.clone()),
             };
-            network.push(links.proxy(address, real, &place).await?);
+            request_proxies.push(network.proxy(address, listen, &location).await?);
             servers.push(Server {
                 address,
                 region: region.clone(),
@@ -397,8 +411,9 @@
     Ok(servers)
 }
 
+/// Spawns the agent and the entry of a VM.
 fn start_vm(vm: &VmRecord, store: SocketAddr, ports: Ports) -> [tokio::task::JoinHandle<()>; 2] {
-    let settings = NodeSettings {
+    let settings = VmSettings {
         vm: vm.name.clone(),
         address: process_address(vm.address),
         region: vm.region.clone(),
@@ -406,10 +421,10 @@
         store,
         ports,
     };
-    let of_agent = settings.clone();
+    let agent_settings = settings.clone();
     [
         tokio::spawn(async move {
-            if let Err(error) = agent::run(of_agent).await {
+            if let Err(error) = agent::run(agent_settings).await {
                 log::error!("event=agent_failed error={}", logfmt::value(&error));
             }
         }),
@@ -421,6 +436,7 @@
     ]
 }
 
+/// Grants one key to each team.
 fn grant_keys(
     config: &Config,
     platform: &PlatformServer,
@@ -440,6 +456,8 @@
     Ok(keys)
 }
 
+/// Whether the entry behind this agent has received a configuration and a share
+/// table.
 async fn is_ready(agent: &PeerLink) -> bool {
     let status = Body::StatusRequest(StatusRequest {});
     match agent.call(status, Duration::from_secs(1)).await {
@@ -450,7 +468,7 @@
     }
 }
 
-/// Spreads the VMs over the failure domains in turn.
+/// Creates the records of the VMs, assigned to the failure domains in turn.
 fn place_vms(config: &Config, count: usize) -> Result<Vec<VmRecord>, NameError> {
     let domains: Vec<(&RegionName, &FailureDomainName)> = config
         .regions
@@ -464,7 +482,7 @@
             let octets = [n / 250, n % 250 + 1].map(|o| u8::try_from(o).unwrap_or(u8::MAX));
             Ok(VmRecord {
                 name: VmName::try_from(name.as_str())?,
-                address: Ipv4Addr::new(127, NETWORK_OCTET, octets[0], octets[1]).into(),
+                address: Ipv4Addr::new(127, PROXY_OCTET, octets[0], octets[1]).into(),
                 region: region.clone(),
                 failure_domain: domain.clone(),
                 state: VmState::Live,
@@ -473,12 +491,13 @@
         .collect()
 }
 
-/// Where the processes of a VM listen; the listed address is a proxy's.
+/// The address on which the processes of a VM listen. Proxies listen on the
+/// address in the VM list.
 fn process_address(listed: IpAddr) -> IpAddr {
     match listed {
         IpAddr::V4(listed) => {
             let [first, _, third, fourth] = listed.octets();
-            Ipv4Addr::new(first, VM_OCTET, third, fourth).into()
+            Ipv4Addr::new(first, PROCESS_OCTET, third, fourth).into()
         }
         IpAddr::V6(_) => listed,
     }
--- a/crates/filbertgrade/src/process/command/dev/mod.rs
+++ b/crates/filbertgrade/src/process/command/dev/mod.rs
@@ -1,7 +1,8 @@
-//! `dev`: a whole deployment in one process on loopback, for trying out.
+//! `dev`: runs a whole deployment in one process on loopback, for trial runs.
 //!
-//! Entries, agents, the platform and backend servers run as they would apart,
-//! behind proxies that add the latencies and share the bandwidth of the file.
+//! Entries, agents, the platform and backend servers communicate over sockets
+//! as separate processes would. Proxies between them add the latencies of the
+//! configuration file and limit the bandwidth to its values.
 
 mod deployment;
 mod report;
@@ -21,38 +22,42 @@
 use super::flags::Dev;
 use crate::version::{Config, RegionConfig, TeamConfig};
 
-/// Fraction of its rate that a team sends, if it keeps within it.
-const WITHIN_RATE: f64 = 0.6;
+/// Default load of a team that stays within its rate, as a fraction of the
+/// rate.
+const DEFAULT_LOAD: f64 = 0.6;
 
-/// Multiple of its rate that the one team sends that exceeds it.
-const OVER_RATE: f64 = 3.0;
+/// Load of the one team that exceeds its rate, as a multiple of the rate.
+const OVER_RATE_LOAD: f64 = 3.0;
 
-/// Which team exceeds its rate: a middle-sized one.
+/// Index of the team that exceeds its rate, a team of medium size.
 const OVER_RATE_TEAM: usize = 3;
 
-/// Size of an uploaded scan or photograph, in bytes.
+/// Size of an upload in bytes, typical of a scan or photograph.
 const UPLOAD_BYTES: usize = 64 * 1024;
 
-/// Time for the buckets, which start empty, to fill. The files give each team
-/// a burst of one second of its rate, and refusals are judged against a full
-/// bucket at the start of the traffic.
+/// Pause before the traffic, in which the buckets fill, which start empty. The
+/// example files give each team a burst of one second of its rate, and the
+/// report assumes full buckets at the start of the traffic.
 const WARM_UP: Duration = Duration::from_millis(1500);
 
-/// Part of the run after which one backend server is drained.
-const DRAIN_AFTER: f64 = 0.6;
+/// One backend server is drained after this fraction of the run.
+const DRAIN_AFTER_FRACTION: f64 = 0.6;
 
-/// Defaults of the flags.
+/// Default duration of the traffic, in seconds.
 const DEFAULT_SECONDS: u64 = 10;
+/// Default number of VMs.
 const DEFAULT_VMS: usize = 10;
+/// Default seed of the traffic.
 const DEFAULT_SEED: u64 = 1;
 
-/// Runs the deployment of a file, sends traffic through it and prints what
-/// users measure.
+/// Runs the deployment that a file describes, sends traffic through it and
+/// prints a report of what callers and backend servers measured.
 ///
 /// # Errors
 ///
 /// Fails when the file is invalid, when an address is in use, when the
-/// deployment does not come up, or when a count that must be zero is not.
+/// configuration is not in force everywhere in time, or when a count that must
+/// be zero is not.
 pub async fn dev(flags: &Dev) -> Result<(), DevError> {
     let text = std::fs::read_to_string(&flags.file).map_err(|source| DevError::Read {
         path: flags.file.clone(),
@@ -61,14 +66,14 @@
     let config = Config::parse(&text)?;
     let seed = flags.seed.unwrap_or(DEFAULT_SEED);
     let duration = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS).max(2));
-    let load = flags.load.unwrap_or(WITHIN_RATE);
+    let load = flags.load.unwrap_or(DEFAULT_LOAD);
     let progress = Progress::new(flags.json);
 
-    progress.say(&format!("starting {}", title(&flags.file)));
+    progress.print(&format!("starting {}", title(&flags.file)));
     let deployment =
         Deployment::start(config, &text, flags.vms.unwrap_or(DEFAULT_VMS), seed).await?;
     let ready = deployment.wait_until_ready().await?;
-    progress.say(&format!(
+    progress.print(&format!(
         "in force everywhere after {:.1} s",
         ready.as_secs_f64()
     ));
@@ -76,12 +81,12 @@
     tokio::time::sleep(WARM_UP).await;
 
     let teams = team_loads(&deployment, load, seed);
-    progress.say(&format!("sending traffic for {} s", duration.as_secs()));
+    progress.print(&format!("sending traffic for {} s", duration.as_secs()));
     let control_before = deployment.control_bytes();
     let load_start = Instant::now();
-    let running = tokio::spawn(run_load(&deployment, teams.clone(), duration, seed));
-    let watched = watch(&deployment, duration, &progress).await;
-    let load_report = running.await.map_err(DevError::Load)?;
+    let load_task = tokio::spawn(run_load(&deployment, teams.clone(), duration, seed));
+    let observations = observe_servers(&deployment, duration, &progress).await;
+    let load_report = load_task.await.map_err(DevError::Load)?;
     let mut control: IndexMap<String, f64> = IndexMap::new();
     for (link, bytes) in deployment.control_bytes() {
         let before = control_before.get(&link).copied().unwrap_or_default();
@@ -89,33 +94,45 @@
         control.insert(link, rate);
     }
     let records = deployment.records();
-    let drain = drain_time(&deployment, &records, watched.drained_at);
+    let drain = drain_time(&deployment, &records, observations.drained_at);
 
-    progress.say("sending the same traffic straight to the backend servers");
+    progress.print("sending the same traffic straight to the backend servers");
     let direct = direct_load(&deployment, teams, duration / 2, seed + 1).await;
-    let mut report = DevReport::new(&load_report, &direct, &records, watched.headroom, drain);
+    let mut report = DevReport::new(
+        &load_report,
+        &direct,
+        &records,
+        observations.headroom,
+        drain,
+    );
     report.control_bytes_per_second_per_link = control;
     if flags.json {
         println!("{}", report.to_json());
     } else {
         print!("{}", report.to_table());
     }
-    match report.broken_promises() {
-        broken if broken.is_empty() => Ok(()),
-        broken => Err(DevError::Broken(broken.join(", "))),
+    match report.violations() {
+        violations if violations.is_empty() => Ok(()),
+        violations => Err(DevError::Violations(violations.join(", "))),
     }
 }
 
-/// What was seen of the backend servers during the run.
-struct Watched {
+/// What was observed of the backend servers during the run.
+struct Observations {
     headroom: Headroom,
+    /// When one backend server was drained.
     drained_at: Instant,
 }
 
-/// Samples the free slots, and drains one backend server on the way.
-async fn watch(deployment: &Deployment, duration: Duration, progress: &Progress) -> Watched {
+/// Samples the free slots for the duration of the traffic, and drains one
+/// backend server at [`DRAIN_AFTER_FRACTION`] of it.
+async fn observe_servers(
+    deployment: &Deployment,
+    duration: Duration,
+    progress: &Progress,
+) -> Observations {
     let start = Instant::now();
-    let drain_at = start + duration.mul_f64(DRAIN_AFTER);
+    let drain_at = start + duration.mul_f64(DRAIN_AFTER_FRACTION);
     let mut drained_at = None;
     let mut headroom = Headroom::default();
     let mut ticks = tokio::time::interval(Duration::from_millis(20));
@@ -130,17 +147,17 @@
             deployment.drain_first_server();
         }
         if start.elapsed() >= next_line {
-            progress.say(&format!("{:>3} s", next_line.as_secs()));
+            progress.print(&format!("{:>3} s", next_line.as_secs()));
             next_line += Duration::from_secs(1);
         }
     }
-    Watched {
+    Observations {
         headroom,
         drained_at: drained_at.unwrap_or(drain_at),
     }
 }
 
-/// Time from the drain to the last new work of the drained server.
+/// Time from the drain until the drained server received its last request.
 fn drain_time(
     deployment: &Deployment,
     records: &[BackendRecords],
@@ -153,6 +170,8 @@
         .unwrap_or_default()
 }
 
+/// Sends the traffic through the deployment, where callers choose a VM by
+/// look-up.
 fn run_load(
     deployment: &Deployment,
     teams: Vec<TeamLoad>,
@@ -165,6 +184,8 @@
     Load::new(cfg).run()
 }
 
+/// Sends the traffic to the backend servers without the deployment in between,
+/// as the baseline of the added latency.
 async fn direct_load(
     deployment: &Deployment,
     teams: Vec<TeamLoad>,
@@ -177,7 +198,7 @@
     Load::new(cfg).run().await
 }
 
-/// All teams keep within their rates but one.
+/// The load of each team. All teams but one stay within their rates.
 fn team_loads(deployment: &Deployment, load: f64, seed: u64) -> Vec<TeamLoad> {
     let mut rng = StdRng::seed_from_u64(seed);
     let config = deployment.config();
@@ -187,11 +208,11 @@
         .enumerate()
         .map(|(index, (name, team))| {
             let factor = if index == OVER_RATE_TEAM {
-                OVER_RATE
+                OVER_RATE_LOAD
             } else {
                 load
             };
-            let mut load = TeamLoad::new(name.as_str(), team.rate * factor, mix(config));
+            let mut load = TeamLoad::new(name.as_str(), team.rate * factor, request_mix(config));
             load.key = deployment.key_of(name);
             load.limit = Some(limit(team));
             load.clients = clients(config, index, &mut rng);
@@ -200,7 +221,8 @@
         .collect()
 }
 
-fn mix(config: &Config) -> Vec<Kind> {
+/// The kinds of requests that every team sends, with their weights.
+fn request_mix(config: &Config) -> Vec<Kind> {
     let services: Vec<&str> = config
         .services
         .keys()
@@ -216,7 +238,8 @@
     ]
 }
 
-/// Large teams have clients in every region, the others in one.
+/// Client addresses of a team. The two largest teams have clients in every
+/// region, the others in one.
 fn clients(config: &Config, index: usize, rng: &mut StdRng) -> Vec<std::net::IpAddr> {
     let regions: Vec<&RegionConfig> = config.regions.values().collect();
     let in_region = |at: usize, rng: &mut StdRng| {
@@ -224,8 +247,8 @@
         let block = config.client_blocks.iter().find(|(_, r)| Some(r) == region);
         block.and_then(|(block, _)| block.hosts().nth(rng.random_range(0..200)))
     };
-    let spread = if index < 2 { regions.len() } else { 1 };
-    (index..index + spread)
+    let region_count = if index < 2 { regions.len() } else { 1 };
+    (index..index + region_count)
         .flat_map(|at| [in_region(at, rng), in_region(at, rng)])
         .flatten()
         .collect()
@@ -238,6 +261,7 @@
     }
 }
 
+/// The file name without its folder.
 fn title(path: &Path) -> String {
     path.file_name()
         .unwrap_or(path.as_os_str())
@@ -245,7 +269,7 @@
         .into_owned()
 }
 
-/// Lines for a person who waits; none when the output is for a program.
+/// Prints progress on standard error, unless the output is JSON for a program.
 struct Progress {
     quiet: bool,
 }
@@ -255,7 +279,7 @@
         Self { quiet }
     }
 
-    fn say(&self, line: &str) {
+    fn print(&self, line: &str) {
         if !self.quiet {
             eprintln!("{line}");
         }
--- a/crates/filbertgrade/src/process/command/dev/report.rs
+++ b/crates/filbertgrade/src/process/command/dev/report.rs
@@ -1,4 +1,4 @@
-//! What users measure, as JSON or as a short table.
+//! The report of a run, as JSON or as a short table.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,12 +9,13 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// Time by which the ways of two requests from admission to the backend server
-/// may differ: the wait for a slot of the own region and the way to another.
-const JITTER: Duration = Duration::from_millis(250);
+/// Maximum difference between the times that two requests take from admission
+/// to the backend server. It covers the wait for a slot in the caller's region
+/// and the transit to another region.
+const MAX_TRANSIT_JITTER: Duration = Duration::from_millis(250);
 
-/// Figures of one run. All counts come from the stand-in callers and backend
-/// servers.
+/// Figures of one run. All counts come from the stand-ins for callers and
+/// backend servers, not from the deployment itself.
 #[derive(Debug, Serialize)]
 pub(super) struct DevReport {
     requests: u64,
@@ -37,7 +38,7 @@
     worst_team: WorstTeam,
     headroom: IndexMap<String, f64>,
     drain_seconds: f64,
-    /// By link, one way.
+    /// Average rate of control traffic by link, for each direction.
     pub(super) control_bytes_per_second_per_link: IndexMap<String, f64>,
 }
 
@@ -51,6 +52,7 @@
     p99_ms: f64,
 }
 
+/// Latency percentiles of the requests through the deployment.
 #[derive(Debug, Serialize)]
 struct LatencyMs {
     p50: f64,
@@ -58,13 +60,16 @@
     p999: f64,
 }
 
+/// Latency percentiles minus those of requests sent directly to the backend
+/// servers.
 #[derive(Debug, Serialize)]
 struct AddedLatencyMs {
     p50: f64,
     p99: f64,
 }
 
-/// The team with the lowest served fraction of what its rate allows.
+/// The team with the lowest served fraction of the requests that its rate
+/// allows.
 #[derive(Debug, Default, Serialize)]
 struct WorstTeam {
     name: String,
@@ -72,16 +77,16 @@
     p99_ms: f64,
 }
 
-/// Least free fraction of each region's slots.
+/// The lowest free fraction of each region's slots during the run.
 #[derive(Debug, Default)]
 pub(super) struct Headroom {
-    least: IndexMap<String, f64>,
+    min_free: IndexMap<String, f64>,
 }
 
 impl Headroom {
     pub(super) fn sample(&mut self, region: &RegionName, free: f64) {
-        let least = self.least.entry(region.to_string()).or_insert(1.0);
-        *least = least.min(free);
+        let min_free = self.min_free.entry(region.to_string()).or_insert(1.0);
+        *min_free = min_free.min(free);
     }
 }
 
@@ -93,7 +98,7 @@
         headroom: Headroom,
         drain: Duration,
     ) -> Self {
-        let joined = load.join(records, JITTER);
+        let joined = load.join(records, MAX_TRANSIT_JITTER);
         let latency = load.latency_us();
         let direct = direct.latency_us();
         let ms = |us: u64| us as f64 / 1000.0;
@@ -130,17 +135,17 @@
                 p99: added(0.99),
             },
             worst_team: WorstTeam::of(load),
-            headroom: headroom.least,
+            headroom: headroom.min_free,
             drain_seconds: drain.as_secs_f64(),
             control_bytes_per_second_per_link: IndexMap::new(),
         }
     }
 
-    /// Counts that are not zero although each of them breaks a promise.
+    /// The counts that must be zero and are not, as `name=count`.
     ///
-    /// Requests that meet busy slots are not among them: the backend server
-    /// refuses them and they run elsewhere.
-    pub(super) fn broken_promises(&self) -> Vec<String> {
+    /// `over_slots` is not among them: a backend server without a free slot
+    /// refuses the request, which then runs on another one.
+    pub(super) fn violations(&self) -> Vec<String> {
         let counts = [
             ("lost", self.lost),
             ("cut", self.cut),
@@ -152,8 +157,8 @@
             ("over_rate", self.over_rate),
             ("over_connections", self.over_connections),
         ];
-        let broken = counts.into_iter().filter(|(_, count)| *count > 0);
-        broken
+        let violations = counts.into_iter().filter(|(_, count)| *count > 0);
+        violations
             .map(|(name, count)| format!("{name}={count}"))
             .collect()
     }
@@ -205,10 +210,10 @@
                 self.worst_team.p99_ms
             ),
         );
-        for (region, least) in &self.headroom {
+        for (region, min_free) in &self.headroom {
             row(
                 &format!("headroom {region}"),
-                format!("{:.0}%", least * 100.0),
+                format!("{:.0}%", min_free * 100.0),
             );
         }
         row("drain", format!("{:.2} s", self.drain_seconds));
@@ -234,16 +239,17 @@
 }
 
 impl WorstTeam {
-    /// Refusals over a team's rate are its own doing and do not count.
+    /// Refusals of requests over a team's rate are expected, so they do not
+    /// lower its served fraction.
     fn of(load: &LoadReport) -> Self {
         load.teams
             .iter()
             .map(|(name, team)| {
-                let due = team.sent - team.refused_over_rate;
-                let served_fraction = if due == 0 {
+                let within_rate = team.sent - team.refused_over_rate;
+                let served_fraction = if within_rate == 0 {
                     1.0
                 } else {
-                    team.served as f64 / due as f64
+                    team.served as f64 / within_rate as f64
                 };
                 Self {
                     name: name.clone(),
--- a/crates/filbertgrade/src/process/command/drain.rs
+++ b/crates/filbertgrade/src/process/command/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: takes new work away from a VM, backend server or region.
+//! `drain`: directs new requests away from a VM, backend server or region.
 
 use std::net::SocketAddr;
 
@@ -30,12 +30,14 @@
     }
 }
 
-/// Starts a drain, or ends it with `undo`, and waits until this is in force
-/// on all live VMs.
+/// Starts a drain, or ends it if `undo` is true, and waits until the change is
+/// in force on all live VMs.
 ///
 /// # Errors
 ///
-/// Fails without effect when nothing has this name or the store fails.
+/// Fails without effect when no VM, backend server or region has this name or
+/// when the store fails. Fails with [`CommandError::NotConfirmed`] when the
+/// drain was written but is not in force everywhere within the wait limit.
 pub(super) async fn drain(
     kind: DrainKind,
     name: &str,
@@ -67,9 +69,11 @@
     Ok(())
 }
 
+/// Writes the drain object; returns the revision at which it exists.
 async fn start(platform: &dyn Platform, object: &str) -> Result<Revision, CommandError> {
     let value = Bytes::from_static(b"{}");
-    // Whoever wrote the object, it starts the same drain.
+    // All drain objects have the same content, so one that another operator
+    // wrote starts the same drain.
     match write(platform, object, value, Condition::Absent, |_| true).await? {
         Written::Answered(revision) => Ok(revision),
         Written::Found(object) | Written::Lost(Some(object)) => Ok(object.revision),
@@ -77,6 +81,8 @@
     }
 }
 
+/// Removes the drain object; returns the revision after the removal, or `None`
+/// when there was no drain.
 async fn end(platform: &dyn Platform, object: &str) -> Result<Option<Revision>, CommandError> {
     let Some(Object { revision, .. }) = platform.get(object).await? else {
         return Ok(None);
@@ -93,6 +99,7 @@
     }
 }
 
+/// Refuses a target that the VM list or the configuration does not contain.
 async fn check_target(
     platform: &dyn Platform,
     kind: DrainKind,
@@ -105,7 +112,8 @@
         }
         DrainKind::Server => {
             let address = name.parse::<SocketAddr>().ok();
-            // Entries compare the address as text that Rust prints.
+            // Entries compare the address as text, in the form that Rust
+            // prints.
             let address = address.filter(|address| address.to_string() == name);
             let config = in_force(platform).await?;
             let mut services = config.iter().flat_map(|cfg| cfg.services.values());
--- a/crates/filbertgrade/src/process/command/error.rs
+++ b/crates/filbertgrade/src/process/command/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that scripts see.
+//! The errors of commands and their exit codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,10 +14,10 @@
     /// Flags or environment variables are missing or malformed.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A file cannot be read.
+    /// A file on the command line cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The cause.
         source: std::io::Error,
@@ -25,46 +25,48 @@
     /// The files are not a valid configuration.
     #[error("{0}")]
     Invalid(#[from] ConfigError),
-    /// Another version was accepted first.
-    #[error("conflict: version {winner} was accepted first; nothing of this file took effect")]
+    /// Another operator applied a version first.
+    #[error("conflict: version {winner} was accepted first; this apply had no effect")]
     Conflict {
-        /// Version that won.
+        /// The version that was accepted.
         winner: u64,
     },
-    /// Another operator changed the object first.
+    /// Another operator changed the object first, so it was not written.
     #[error("conflict: {name} was changed by another operator; nothing was written")]
     Changed {
-        /// Object name.
+        /// Name of the object.
         name: String,
     },
-    /// The command would break what runs, or names something unknown.
+    /// The command would remove something that is in use, or names something
+    /// that does not exist.
     #[error("refused, nothing was written: {}", .0.join("; "))]
     Refused(Vec<String>),
-    /// The store failed before anything took effect.
+    /// The store failed, and nothing took effect.
     #[error("the store failed, nothing took effect: {0}")]
     Store(#[from] PlatformError),
-    /// No answer came, and the store did not tell the outcome in time.
+    /// The store did not answer the write, and the outcome could not be read in
+    /// time. The write may have taken effect.
     #[error("outcome unknown, the store answered neither the write nor a read after it: {0}")]
     Unknown(PlatformError),
-    /// The write took effect, and not every process confirmed it in time.
+    /// The write took effect, but not every VM confirmed it in time.
     #[error("written, not confirmed; waiting for {}", .waiting.join(", "))]
     NotConfirmed {
-        /// VMs or regions that did not confirm.
+        /// Names of the VMs or regions that did not confirm.
         waiting: Vec<String>,
     },
-    /// An object of the store is not readable.
+    /// An object in the store cannot be decoded.
     #[error("the object {name} in the store is malformed: {cause}")]
     Malformed {
-        /// Object name.
+        /// Name of the object.
         name: String,
         /// The cause.
         cause: String,
     },
-    /// The random source failed.
-    #[error("no random numbers: {0}")]
+    /// The random number generator of the operating system failed.
+    #[error("cannot generate random numbers: {0}")]
     Random(#[from] getrandom::Error),
-    /// An operator port gave no usable answer.
-    #[error("no answer from {address}: {cause}")]
+    /// An operator port sent no usable response.
+    #[error("no usable response from {address}: {cause}")]
     NoDump {
         /// Address of the operator port.
         address: SocketAddr,
--- a/crates/filbertgrade/src/process/command/explain.rs
+++ b/crates/filbertgrade/src/process/command/explain.rs
@@ -1,15 +1,20 @@
-//! `explain`: the story of one request.
+//! `explain`: prints the log lines of one request and why it ended as it did.
 
 use std::fs::File;
 use std::io::{BufReader, IsTerminal};
 use std::path::PathBuf;
 
 use super::CommandError;
-use crate::explain::Story;
+use crate::explain::RequestHistory;
 
-/// Prints what logs tell of a request.
+/// Prints the history of the request `id` from the files `logs`, with progress
+/// on standard error if that is a terminal.
+///
+/// # Errors
+///
+/// Fails when a file cannot be read.
 pub(super) fn explain(id: &str, logs: &[PathBuf]) -> Result<(), CommandError> {
-    let mut story = Story::new(id);
+    let mut history = RequestHistory::new(id);
     let is_terminal = std::io::stderr().is_terminal();
     for path in logs {
         let failed = |source| CommandError::Read {
@@ -23,13 +28,13 @@
             }
         };
         let name = path.display().to_string();
-        story
+        history
             .read(&name, BufReader::new(file), progress)
             .map_err(failed)?;
     }
     if is_terminal {
         eprint!("\r");
     }
-    println!("{story}");
+    println!("{history}");
     Ok(())
 }
--- a/crates/filbertgrade/src/process/command/flags.rs
+++ b/crates/filbertgrade/src/process/command/flags.rs
@@ -1,21 +1,20 @@
-//! The command line.
+//! Parser of the command line; the macro derives commands and flags from the
+//! names below.
 
 #![expect(
     missing_docs,
-    reason = "the macro emits the public fields without room for their docs"
+    reason = "the macro emits public fields without doc comments"
 )]
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use crate::process::settings::{
-    CommandFlags, CommandSettings, NodeFlags, NodeSettings, SettingsError,
-};
+use crate::process::settings::{CommandFlags, CommandSettings, SettingsError, VmFlags, VmSettings};
 
 xflags::xflags! {
     /// Global traffic steering.
     cmd filbertgrade {
-        /// Answers look-ups and carries requests; one for each VM.
+        /// Runs the entry of a VM, which answers look-ups and forwards requests.
         cmd entry {
             /// Name of the VM.
             optional --vm vm: String
@@ -27,18 +26,18 @@
             optional --failure-domain failure_domain: String
             /// Address of the platform's object API.
             optional --store store: String
-            /// Port for callers.
+            /// Port for look-ups and requests of callers.
             optional --caller-port port: String
             /// Port for links between entries.
             optional --entry-peer-port port: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
-            /// Port for operators at the entry.
+            /// Operator port of the entry.
             optional --entry-operator-port port: String
-            /// Port for operators at the agent.
+            /// Operator port of the agent.
             optional --agent-operator-port port: String
         }
-        /// Watches the platform and feeds the entry; one for each VM.
+        /// Runs the agent of a VM, which watches the platform and updates the entry.
         cmd agent {
             /// Name of the VM.
             optional --vm vm: String
@@ -50,18 +49,18 @@
             optional --failure-domain failure_domain: String
             /// Address of the platform's object API.
             optional --store store: String
-            /// Port for callers.
+            /// Port for look-ups and requests of callers.
             optional --caller-port port: String
             /// Port for links between entries.
             optional --entry-peer-port port: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
-            /// Port for operators at the entry.
+            /// Operator port of the entry.
             optional --entry-operator-port port: String
-            /// Port for operators at the agent.
+            /// Operator port of the agent.
             optional --agent-operator-port port: String
         }
-        /// Serves a platform that has a store of its own; one for each VM.
+        /// Runs the node of a VM, on a platform that provides its own store.
         cmd node {
             /// Settings file; FILBERTGRADE_SETTINGS by default.
             optional --settings settings: PathBuf
@@ -73,7 +72,7 @@
             /// Configuration files.
             repeated file: PathBuf
         }
-        /// Shows by key path what files would change.
+        /// Shows what configuration files would change, by key path.
         cmd diff {
             /// Configuration files.
             repeated file: PathBuf
@@ -86,33 +85,33 @@
             repeated file: PathBuf
             /// Address of the platform's object API.
             optional --store store: String
-            /// Returns once the version is in force on every live VM.
+            /// Waits until the version is in force on every live VM.
             optional --wait
-            /// Longest wait in milliseconds; 15000 by default.
+            /// Wait limit in milliseconds; default 15000.
             optional --wait-limit-ms ms: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
         }
-        /// Runs a whole deployment in one process on loopback, for trying out.
+        /// Runs a whole deployment in one process on loopback, for trial runs.
         cmd dev {
             /// Configuration file.
             required file: PathBuf
             /// Length of the run in seconds; default 10.
             optional --seconds seconds: u64
-            /// Prints one JSON object.
+            /// Prints the results as one JSON object.
             optional --json
             /// Seed of the traffic; default 1.
             optional --seed seed: u64
             /// Number of VMs; default 10.
             optional --vms vms: usize
-            /// Fraction of their rates that teams send; default 0.6.
+            /// Load that teams send, as a fraction of their rates; default 0.6.
             optional --load load: f64
         }
         /// Grants, withdraws and lists keys.
         cmd key {
             /// Address of the platform's object API.
             optional --store store: String
-            /// Longest wait in milliseconds; 15000 by default.
+            /// Wait limit in milliseconds; default 15000.
             optional --wait-limit-ms ms: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
@@ -129,11 +128,11 @@
             /// Lists keys.
             cmd list {}
         }
-        /// Takes new work away, and waits until this is in force.
+        /// Directs new requests away, and waits until this is in force.
         cmd drain {
             /// Address of the platform's object API.
             optional --store store: String
-            /// Longest wait in milliseconds; 15000 by default.
+            /// Wait limit in milliseconds; default 15000.
             optional --wait-limit-ms ms: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
@@ -159,21 +158,21 @@
                 optional --undo
             }
         }
-        /// Shows what every VM holds.
+        /// Shows the revisions and the configuration version of every VM.
         cmd status {
             /// Address of the platform's object API.
             optional --store store: String
             /// Port for links between agents.
             optional --agent-peer-port port: String
         }
-        /// Tells the story of one request from the logs of several processes.
+        /// Shows the log lines of one request and why it ended as it did.
         cmd explain {
             /// Id of the request.
             required id: String
             /// Log files.
             repeated file: PathBuf
         }
-        /// Shows the state of one process.
+        /// Prints the state of one process as JSON.
         cmd dump {
             /// Address of the operator port of an entry or agent.
             required address: SocketAddr
@@ -181,6 +180,7 @@
     }
 }
 
+/// Parses the flags of a command and the environment variables.
 pub(super) fn command_settings(
     store: Option<String>,
     agent_peer_port: Option<String>,
@@ -194,16 +194,16 @@
     CommandSettings::resolve(flags, |name| std::env::var(name).ok())
 }
 
-macro_rules! node_settings {
+macro_rules! vm_settings {
     ($flags:ident) => {
         impl $flags {
-            /// The settings that these flags and the environment give.
+            /// Parses these flags and the environment variables.
             ///
             /// # Errors
             ///
             /// Lists every missing or malformed setting.
-            pub fn settings(self) -> Result<NodeSettings, SettingsError> {
-                let flags = NodeFlags {
+            pub fn settings(self) -> Result<VmSettings, SettingsError> {
+                let flags = VmFlags {
                     vm: self.vm,
                     address: self.address,
                     region: self.region,
@@ -215,11 +215,11 @@
                     entry_operator_port: self.entry_operator_port,
                     agent_operator_port: self.agent_operator_port,
                 };
-                NodeSettings::resolve(flags, |name| std::env::var(name).ok())
+                VmSettings::resolve(flags, |name| std::env::var(name).ok())
             }
         }
     };
 }
 
-node_settings!(Entry);
-node_settings!(Agent);
+vm_settings!(Entry);
+vm_settings!(Agent);
--- a/crates/filbertgrade/src/process/command/key.rs
+++ b/crates/filbertgrade/src/process/command/key.rs
@@ -15,8 +15,9 @@
 ///
 /// # Errors
 ///
-/// Fails when the team does not exist or the store fails. A secret whose
-/// grant is unknown is not shown, so it grants nothing to anybody.
+/// Fails when the team does not exist or the store fails. When it is unknown
+/// whether the grant was written, the secret is not shown, so nobody can use
+/// it.
 pub(super) async fn create(team: &str, settings: &CommandSettings) -> Result<(), CommandError> {
     let platform = HttpPlatform::new(settings.store, None);
     check_team(&platform, team).await?;
@@ -28,8 +29,8 @@
     };
     let name = object_name(secret.id());
     let value = encode(&name, &record)?;
-    let own = |object: &Object| object.value.as_ref() == Some(&value);
-    match write(&platform, &name, value.clone(), Condition::Absent, own).await? {
+    let is_own = |object: &Object| object.value.as_ref() == Some(&value);
+    match write(&platform, &name, value.clone(), Condition::Absent, is_own).await? {
         Written::Answered(_) | Written::Found(_) => {
             println!("{}", secret.reveal());
             Ok(())
@@ -42,8 +43,9 @@
 ///
 /// # Errors
 ///
-/// Fails with [`CommandError::NotConfirmed`] when a region does not confirm:
-/// by the freshness rules its VMs may then honour the key longer than 5 s.
+/// Fails with [`CommandError::NotConfirmed`] when a region does not confirm.
+/// The VMs of this region may then accept the key for longer than 5 s, as the
+/// rules for stale state allow.
 pub(super) async fn withdraw(id: &str, settings: &CommandSettings) -> Result<(), CommandError> {
     let platform = HttpPlatform::new(settings.store, None);
     let revision = write_withdrawal(&platform, id).await?;
@@ -55,11 +57,12 @@
     Ok(())
 }
 
-/// Prints id, team and state of every key.
+/// Prints the id, team and state of every key.
 ///
 /// # Errors
 ///
-/// Fails when the store does. Malformed records are named on standard error.
+/// Fails when the store fails. Malformed records are reported on standard error
+/// and skipped.
 pub(super) async fn list(settings: &CommandSettings) -> Result<(), CommandError> {
     let platform = HttpPlatform::new(settings.store, None);
     for object in platform.list(&["keys/"]).await?.objects {
@@ -72,6 +75,7 @@
     Ok(())
 }
 
+/// Refuses a team that is not in the configuration in force.
 async fn check_team(platform: &dyn Platform, team: &str) -> Result<(), CommandError> {
     let refused = |cause: String| Err(CommandError::Refused(vec![cause]));
     let name = match TeamName::try_from(team) {
@@ -79,7 +83,7 @@
         Err(error) => return refused(format!("team {team:?}: {error}")),
     };
     let Some((root, config)) = stored::read_in_force(platform).await? else {
-        return refused("no configuration is in force, so there is no team".to_owned());
+        return refused("no configuration is in force, so no team exists".to_owned());
     };
     if config.teams.contains_key(&name) {
         return Ok(());
@@ -92,10 +96,12 @@
     ))
 }
 
+/// Marks the key as withdrawn; returns a revision from which on it is.
 async fn write_withdrawal(platform: &dyn Platform, id: &str) -> Result<Revision, CommandError> {
     let name = object_name(id);
     let unknown = || CommandError::Refused(vec![format!("no key has the id {id:?}")]);
-    // The id becomes part of an object name; ids hold nothing else.
+    // The id becomes part of an object name, so other characters are refused;
+    // no id contains them.
     if id.is_empty() || !id.bytes().all(|b| b.is_ascii_alphanumeric()) {
         return Err(unknown());
     }
--- a/crates/filbertgrade/src/process/command/mod.rs
+++ b/crates/filbertgrade/src/process/command/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' commands.
+//! Operators' commands and the parser of the command line.
 
 mod apply;
 mod check;
@@ -18,12 +18,13 @@
 pub use self::error::CommandError;
 use self::flags::{DrainCmd, FilbertgradeCmd, KeyCmd};
 
-/// Runs one operators' command; the daemons and `dev` are not
-/// among them.
+/// Runs an operators' command. Does nothing for the daemons and `dev`, which
+/// the binary starts itself.
 ///
 /// # Errors
 ///
-/// Fails as the command does; [`CommandError::exit_code`] tells scripts why.
+/// Fails when the command fails; [`CommandError::exit_code`] is the exit code
+/// for scripts.
 pub async fn run(command: FilbertgradeCmd) -> Result<(), CommandError> {
     match command {
         FilbertgradeCmd::Entry(_)
--- a/crates/filbertgrade/src/process/command/status.rs
+++ b/crates/filbertgrade/src/process/command/status.rs
@@ -1,4 +1,4 @@
-//! `status` and `dump`: what the processes of the fleet hold.
+//! `status` and `dump`: show the state of the processes of the fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use crate::process::settings::CommandSettings;
 use crate::version::VmState;
 
-/// Time for one dump, connection included.
+/// Timeout of one dump, including the connection.
 const DUMP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest dump that is read.
-const DUMP_BYTES: usize = 64 * 1024 * 1024;
+/// Size limit of a dump in bytes; a longer one is an error.
+const MAX_DUMP_BYTES: usize = 64 * 1024 * 1024;
 
-/// Prints one line for each VM of the platform's list.
+/// Prints one line for each VM in the platform's list, with the revisions and
+/// the configuration version that its processes report.
 ///
 /// # Errors
 ///
-/// Fails when the store does. A VM that does not answer is a line of the
-/// table, not an error.
+/// Fails when the store fails. A VM that does not answer is not an error; its
+/// line says so.
 pub(super) async fn status(settings: &CommandSettings) -> Result<(), CommandError> {
     let platform = HttpPlatform::new(settings.store, None);
     let root = stored::read_root(&platform).await?.root;
@@ -36,7 +37,7 @@
         ]
         .map(str::to_owned),
     ];
-    for (vm, reply) in confirm::ask(vms, settings.agent_peer_port).await {
+    for (vm, reply) in confirm::request_statuses(vms, settings.agent_peer_port).await {
         let listed = match vm.state {
             VmState::Live => "live",
             VmState::Leaving => "leaving",
@@ -59,11 +60,11 @@
     Ok(())
 }
 
-/// Prints the state of one process from its operator port.
+/// Reads the state of one process from its operator port and prints it.
 ///
 /// # Errors
 ///
-/// Fails when the port gives no JSON within 5 s.
+/// Fails when the port does not respond with JSON within 5 s.
 pub(super) async fn dump(address: SocketAddr) -> Result<(), CommandError> {
     let cause = match tokio::time::timeout(DUMP_TIMEOUT, fetch(address)).await {
         Ok(Ok(dump)) => {
@@ -86,16 +87,17 @@
     let req = Request::get("/dump")
         .header("host", address.to_string())
         .body(Empty::<bytes::Bytes>::new())?;
-    let answer = sender.send_request(req).await?;
-    if answer.status() != StatusCode::OK {
-        return Err(format!("status {}", answer.status()).into());
+    let response = sender.send_request(req).await?;
+    if response.status() != StatusCode::OK {
+        return Err(format!("status {}", response.status()).into());
     }
-    let body = Limited::new(answer.into_body(), DUMP_BYTES)
+    let body = Limited::new(response.into_body(), MAX_DUMP_BYTES)
         .collect()
         .await?;
     Ok(serde_json::from_slice(&body.to_bytes())?)
 }
 
+/// Prints the rows with columns of equal width.
 fn print_table<const N: usize>(rows: &[[String; N]]) {
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
     let widths: [usize; N] = std::array::from_fn(width);
--- a/crates/filbertgrade/src/process/command/stored.rs
+++ b/crates/filbertgrade/src/process/command/stored.rs
@@ -1,4 +1,4 @@
-//! The configuration as the store holds it, and as files give it.
+//! Reads configurations from files and from the store.
 
 use std::path::PathBuf;
 
@@ -9,20 +9,21 @@
 use crate::process::settings::SettingsError;
 use crate::version::{CONFIG_ROOT, Config, ConfigFile, ConfigRoot};
 
-/// Longest part of a configuration, in bytes; the platform holds values up to
-/// 1 MB, and frames between processes need room for their names.
-const PART_BYTES: usize = 512 * 1024;
+/// Maximum size of a part of a configuration, in bytes. The platform stores
+/// values up to 1 MB, and a frame between processes also contains the name of
+/// the object.
+const MAX_PART_BYTES: usize = 512 * 1024;
 
-/// The root object as it was read.
+/// The root object, as it was read from the store.
 #[derive(Debug)]
 pub(super) struct StoredRoot {
-    /// `None` before the first configuration.
+    /// `None` when no configuration has been applied yet.
     pub(super) root: Option<ConfigRoot>,
-    /// Holds while the root is as it was read.
+    /// Condition for a write that is only valid while the root is unchanged.
     pub(super) condition: Condition,
 }
 
-/// Reads and checks files as one configuration.
+/// Reads the files and validates them as one configuration.
 pub(super) fn read_files(paths: &[PathBuf]) -> Result<Config, CommandError> {
     if paths.is_empty() {
         return Err(SettingsError::new("at least one configuration file is required").into());
@@ -61,7 +62,7 @@
     serde_json::from_slice(value).map_err(|e| CommandError::malformed(CONFIG_ROOT, &e))
 }
 
-/// Reads the configuration that a root makes visible.
+/// Reads the parts that a root names and decodes them as one configuration.
 pub(super) async fn read_config(
     platform: &dyn Platform,
     root: &ConfigRoot,
@@ -77,10 +78,11 @@
     Config::parse(&text).map_err(|e| CommandError::malformed(CONFIG_ROOT, &e))
 }
 
-/// Reads the configuration in force with its root.
+/// Reads the configuration in force with its root; `None` when there is none.
 ///
-/// Parts go away when a newer root is written, so a configuration that cannot
-/// be read is read again from the root if that has changed.
+/// Another apply may remove parts of the old root while they are read. So when
+/// the configuration cannot be decoded and the root has changed, it is read
+/// again from the new root.
 pub(super) async fn read_in_force(
     platform: &dyn Platform,
 ) -> Result<Option<(ConfigRoot, Config)>, CommandError> {
@@ -102,10 +104,10 @@
     }
 }
 
-/// The parts of a configuration's text with their digests.
+/// Splits the text of a configuration into parts; each comes with its digest.
 ///
-/// Each top-level table has parts of its own, so that a change in one leaves
-/// the parts of the others as they are.
+/// A part never spans two top-level tables, so that a change in one table
+/// leaves the parts of the others unchanged.
 pub(super) fn parts(config: &Config) -> Vec<(String, String)> {
     let mut tables: Vec<(String, String)> = Vec::new();
     for line in config.lines() {
@@ -122,7 +124,7 @@
         .collect()
 }
 
-/// Name of the object that holds a part.
+/// Name of the object that stores the part with this digest.
 pub(super) fn part_name(digest: &str) -> String {
     format!("config/part/{digest}")
 }
@@ -132,11 +134,13 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Splits a text at character boundaries into pieces of at most
+/// [`MAX_PART_BYTES`].
 fn chunks(text: &str) -> Vec<&str> {
     let mut rest = text;
     let mut chunks = Vec::new();
-    while rest.len() > PART_BYTES {
-        let at = (0..=PART_BYTES)
+    while rest.len() > MAX_PART_BYTES {
+        let at = (0..=MAX_PART_BYTES)
             .rev()
             .find(|at| rest.is_char_boundary(*at))
             .unwrap_or(rest.len());
--- a/crates/filbertgrade/src/process/command/write.rs
+++ b/crates/filbertgrade/src/process/command/write.rs
@@ -1,4 +1,5 @@
-//! Conditional writes whose outcome is known even when an answer is lost.
+//! Conditional writes that determine their outcome even when the response of
+//! the store is lost.
 
 use std::time::Duration;
 
@@ -8,30 +9,31 @@
 use super::CommandError;
 use crate::platform::{Condition, Object, Platform, PlatformError, Revision};
 
-/// How long the outcome of an unanswered write is looked for. It covers
-/// several calls of 2 s each.
-const RESOLVE_WITHIN: Duration = Duration::from_secs(10);
+/// Time limit for determining the outcome of a write that was not answered. It
+/// allows several calls of 2 s each.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pause between two attempts to learn the outcome.
+/// Pause between two attempts to determine the outcome.
 const RESOLVE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Outcome of a conditional write.
 #[derive(Debug)]
 pub(super) enum Written {
-    /// The store answered that the write took effect.
+    /// The store confirmed the write.
     Answered(Revision),
-    /// The answer was lost, and the object shows that the write took effect.
+    /// The response was lost, but the object shows that the write took effect.
     Found(Object),
-    /// The condition did not hold; the object as it is now, if it exists.
+    /// The condition was not met. Contains the current object, if it exists.
     Lost(Option<Object>),
 }
 
-/// Writes `value` if `condition` holds. `is_own` tells from the object whether
-/// this write is what it holds or comes after.
+/// Writes `value` if `condition` is met. `is_own` returns whether an object
+/// read from the store shows that this write took effect, even if another write
+/// has followed.
 ///
-/// An unanswered write may still be on its way, so an object without it
-/// proves nothing. The same conditional write is then sent again: it either
-/// takes effect or fails its condition for good.
+/// A write that was not answered may still be in transit, so an object that
+/// does not show it proves nothing. The same conditional write is then sent
+/// again: it either takes effect or fails its condition permanently.
 pub(super) async fn write(
     platform: &dyn Platform,
     name: &str,
@@ -39,7 +41,7 @@
     condition: Condition,
     is_own: impl Fn(&Object) -> bool,
 ) -> Result<Written, CommandError> {
-    let deadline = Instant::now() + RESOLVE_WITHIN;
+    let deadline = Instant::now() + RESOLVE_TIMEOUT;
     let mut unanswered = false;
     loop {
         let error = match platform.put(name, value.clone(), condition).await {
@@ -76,14 +78,14 @@
     }
 }
 
-/// Removes an object that is at `revision`; the revision after the removal.
-/// `None` when another operator changed the object first.
+/// Removes an object if it is at `revision`. Returns a revision at which it is
+/// gone, or `None` when another operator changed the object first.
 pub(super) async fn remove(
     platform: &dyn Platform,
     name: &str,
     revision: Revision,
 ) -> Result<Option<Revision>, CommandError> {
-    let deadline = Instant::now() + RESOLVE_WITHIN;
+    let deadline = Instant::now() + RESOLVE_TIMEOUT;
     let mut unanswered = false;
     loop {
         let error = match platform.delete(name, revision).await {
@@ -91,7 +93,7 @@
             Err(error) if error.is_conflict() && error.current_revision().is_some() => {
                 return Ok(None);
             }
-            // The object is gone. A list tells a revision after its removal.
+            // The object is gone. A list returns a revision after its removal.
             Err(error) if error.is_conflict() => match platform.list(&[name]).await {
                 Ok(listed) => return Ok(Some(listed.revision)),
                 Err(error) => error,
@@ -111,8 +113,8 @@
     }
 }
 
-/// Reads an object that is known to have reached revision `at_least`; a read
-/// may come from a replica that lags.
+/// Reads an object that is known to have reached revision `at_least`. A replica
+/// that lags may answer, so older reads are repeated until `deadline`.
 async fn read_from(
     platform: &dyn Platform,
     name: &str,
@@ -121,12 +123,12 @@
 ) -> Result<Option<Object>, PlatformError> {
     loop {
         let read = platform.get(name).await;
-        let lags = match &read {
+        let is_old = match &read {
             Ok(Some(object)) => object.revision < at_least,
             Ok(None) => at_least > 0,
             Err(_) => true,
         };
-        if !lags {
+        if !is_old {
             return read;
         }
         if Instant::now() >= deadline {
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -21,7 +21,7 @@
 use super::caller_io::CallerIo;
 use super::{Entry, carry, lookup};
 use crate::logfmt;
-use crate::process::tasks::Running;
+use crate::process::tasks::TaskGuard;
 use crate::request::{Cause, Refusal};
 
 /// Callers' connections at a time. Each costs a few kilobytes and up to
@@ -104,11 +104,11 @@
 fn accept(entry: &Arc<Entry>, stream: TcpStream, peer: SocketAddr, close: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
     if entry.callers.count() >= MAX_CONNECTIONS {
-        tokio::spawn(turn_away(stream, entry.turned_away.begin()));
+        tokio::spawn(turn_away(stream, entry.turned_away.start()));
         return;
     }
     let entry = Arc::clone(entry);
-    let running = entry.callers.begin();
+    let running = entry.callers.start();
     tokio::spawn(async move {
         let _running = running;
         match is_http2(&stream).await {
@@ -120,7 +120,7 @@
 }
 
 /// Refuses a connection beyond the limit, without reading from it.
-async fn turn_away(mut stream: TcpStream, _running: Running) {
+async fn turn_away(mut stream: TcpStream, _running: TaskGuard) {
     let refusal = Refusal::not_run(Cause::TooManyConnections);
     let (cause, outcome) = (refusal.cause(), refusal.outcome());
     let body = format!("{{\"cause\":\"{cause}\",\"outcome\":\"{outcome}\"}}");
--- a/crates/filbertgrade/src/process/entry/dump.rs
+++ b/crates/filbertgrade/src/process/entry/dump.rs
@@ -15,11 +15,11 @@
     let (process, in_force) = (Arc::clone(entry), Arc::clone(entry));
     let (shares, slots) = (Arc::clone(entry), Arc::clone(entry));
     OperatorPort::new(move || readiness(&ready))
-        .gauges(move || set_gauges(&gauges))
-        .part("process", move || describe(&process))
-        .part("in_force", move || view(&in_force))
-        .part("shares", move || ledgers(&shares))
-        .part("slots", move || books(&slots))
+        .refresh_gauges(move || set_gauges(&gauges))
+        .dump_section("process", move || describe(&process))
+        .dump_section("in_force", move || view(&in_force))
+        .dump_section("shares", move || ledgers(&shares))
+        .dump_section("slots", move || books(&slots))
 }
 
 fn readiness(entry: &Entry) -> Result<(), &'static str> {
--- a/crates/filbertgrade/src/process/entry/links.rs
+++ b/crates/filbertgrade/src/process/entry/links.rs
@@ -7,14 +7,14 @@
 use indexmap::IndexMap;
 
 use crate::connection::PeerLink;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::sync::{read, write};
 use crate::version::InForce;
 
 /// One link for each VM of the platform's list but the own one.
 #[derive(Debug)]
 pub(crate) struct PeerLinks {
-    settings: NodeSettings,
+    settings: VmSettings,
     peers: RwLock<IndexMap<VmName, Peer>>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl PeerLinks {
-    pub(crate) fn new(settings: NodeSettings) -> Self {
+    pub(crate) fn new(settings: VmSettings) -> Self {
         Self {
             settings,
             peers: RwLock::default(),
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -30,7 +30,7 @@
 use crate::connection::{Pool, serve_frames};
 use crate::platform::HttpPlatform;
 use crate::process::operator;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::process::tasks::Tasks;
 use crate::request::{Guard, RetryBudget};
 use crate::sync::lock;
@@ -56,7 +56,7 @@
 /// State of the entry that all requests share.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub(crate) settings: NodeSettings,
+    pub(crate) settings: VmSettings,
     pub(crate) in_force: Arc<ArcSwap<InForce>>,
     /// Until when the state in force may be relied on.
     pub(crate) valid_until: ArcSwap<Option<Instant>>,
@@ -81,7 +81,7 @@
 }
 
 impl Entry {
-    fn new(settings: NodeSettings) -> Self {
+    fn new(settings: VmSettings) -> Self {
         let in_force = Arc::new(ArcSwap::default());
         let links = Arc::new(PeerLinks::new(settings.clone()));
         let background = Tasks::default();
@@ -131,7 +131,7 @@
 ///
 /// Fails when an address cannot be bound.
 pub async fn run(
-    settings: NodeSettings,
+    settings: VmSettings,
     stop: impl Future<Output = ()> + Send,
 ) -> Result<(), EntryError> {
     let address = SocketAddr::new(settings.address, settings.ports.caller);
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -27,7 +27,7 @@
 use super::links::PeerLinks;
 use super::spill::Spills;
 use crate::logfmt;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::request::{Cause, Refusal};
 use crate::sync::lock;
 use crate::version::{InForce, ServiceName};
@@ -54,7 +54,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    settings: NodeSettings,
+    settings: VmSettings,
     view: Arc<ArcSwap<InForce>>,
     links: Arc<PeerLinks>,
     books: Mutex<HashMap<BookId, Book>>,
@@ -123,7 +123,7 @@
 
 impl Slots {
     pub(crate) fn new(
-        settings: NodeSettings,
+        settings: VmSettings,
         view: Arc<ArcSwap<InForce>>,
         links: Arc<PeerLinks>,
     ) -> Self {
--- a/crates/filbertgrade/src/process/logs.rs
+++ b/crates/filbertgrade/src/process/logs.rs
@@ -1,4 +1,5 @@
-//! Log lines on standard output, without a request ever waiting for a reader.
+//! Writes log lines to standard output through a bounded buffer, so that a slow
+//! reader of the log never delays a request.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -6,17 +7,17 @@
 
 use crate::sync::lock;
 
-/// Bytes that may wait for the reader of standard output. It bounds the memory
-/// that a reader that stopped costs, and holds some seconds of lines in
-/// overload.
+/// Capacity of the buffer in bytes. It bounds the memory that is used when the
+/// reader of standard output stops reading, and holds some seconds of lines
+/// under overload.
 const BUFFER_BYTES: usize = 1024 * 1024;
 
-/// Part of the buffer from which on only warnings and errors are taken, so
-/// that they are lost last.
+/// Part of the buffer that lines below level warn may fill. The rest is
+/// reserved for warnings and errors, so that these are dropped last.
 const INFO_BYTES: usize = BUFFER_BYTES / 4 * 3;
 
-/// Time between two writes. Longer saves processor time and loses more lines
-/// when the process is killed.
+/// Time between two writes to standard output. A longer interval saves CPU time
+/// but loses more lines when the process is killed.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 static BUFFER: OnceLock<Arc<Mutex<Buffer>>> = OnceLock::new();
@@ -24,17 +25,17 @@
 #[derive(Debug, Default)]
 struct Buffer {
     bytes: Vec<u8>,
-    /// Lines that were dropped since the last write.
+    /// Number of lines that were dropped since the last write.
     dropped: u64,
 }
 
-/// Where `env_logger` writes to: each call holds one whole line.
+/// The output of `env_logger`, which passes one whole line to each `write`.
 #[derive(Debug)]
 struct LineWriter(Arc<Mutex<Buffer>>);
 
 impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        lock(&self.0).take(line);
+        lock(&self.0).push_line(line);
         Ok(line.len())
     }
 
@@ -44,7 +45,7 @@
 }
 
 impl Buffer {
-    fn take(&mut self, line: &[u8]) {
+    fn push_line(&mut self, line: &[u8]) {
         let urgent = line.starts_with(b"level=warn") || line.starts_with(b"level=error");
         let limit = if urgent { BUFFER_BYTES } else { INFO_BYTES };
         if self.bytes.len() + line.len() > limit {
@@ -55,6 +56,8 @@
         self.bytes.extend_from_slice(line);
     }
 
+    /// Empties the buffer and returns its lines. A line that counts the dropped
+    /// ones follows, if there are any.
     fn drain(&mut self) -> Vec<u8> {
         let mut bytes = std::mem::take(&mut self.bytes);
         let dropped = std::mem::take(&mut self.dropped);
@@ -66,9 +69,10 @@
     }
 }
 
-/// Writes log lines of this level and above from now on, one line for each
-/// event. A thread of its own writes them, so that a reader that stops stops
-/// only that thread.
+/// Initializes logging, with one line for each event. Lines of `default_level`
+/// and above are written, unless the environment variable `RUST_LOG` says
+/// otherwise. A separate thread writes them to standard output, so that only
+/// this thread blocks when the reader stops reading.
 pub fn init(default_level: &str) {
     let buffer = Arc::clone(BUFFER.get_or_init(Arc::default));
     let writer = LineWriter(Arc::clone(&buffer));
@@ -88,32 +92,32 @@
     std::thread::spawn(move || {
         loop {
             std::thread::sleep(WRITE_INTERVAL);
-            write_out(&buffer);
+            write_buffered(&buffer);
         }
     });
 }
 
-/// The time of day, for who reads the lines of several processes. Nothing is
-/// decided by it.
+/// Wall clock time, for readers who compare the logs of several processes. The
+/// code makes no decision by it.
 fn seconds_since_1970() -> f64 {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .map_or(0.0, |time| time.as_secs_f64())
 }
 
-/// Writes what waits, before the process ends.
+/// Writes the buffered lines; called before the process ends.
 pub fn flush() {
     if let Some(buffer) = BUFFER.get() {
-        write_out(buffer);
+        write_buffered(buffer);
     }
 }
 
-fn write_out(buffer: &Mutex<Buffer>) {
+fn write_buffered(buffer: &Mutex<Buffer>) {
     let bytes = lock(buffer).drain();
     if bytes.is_empty() {
         return;
     }
     let mut out = std::io::stdout().lock();
-    // Nobody is left to be told when standard output is closed.
+    // A failure cannot be logged when standard output is closed.
     let _ = out.write_all(&bytes).and_then(|()| out.flush());
 }
--- a/crates/filbertgrade/src/process/mod.rs
+++ b/crates/filbertgrade/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a process: settings, the daemons and the operators' commands.
+//! The daemons and the operators' commands, with their settings, logs and
+//! signals.
 
 pub mod agent;
 pub mod command;
--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -77,7 +77,7 @@
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("event=nodelay_failed error={}", logfmt::value(&error));
     }
-    let running = node.caller_connections.begin();
+    let running = node.caller_connections.start();
     let node = Arc::clone(node);
     tokio::spawn(async move {
         let _running = running;
--- a/crates/filbertgrade/src/process/node/dump.rs
+++ b/crates/filbertgrade/src/process/node/dump.rs
@@ -25,10 +25,10 @@
             Err("no current configuration, or leaving")
         }
     })
-    .part("node", part(dump_node))
-    .part("vms", part(dump_vms))
-    .part("endpoints", part(dump_endpoints))
-    .gauges(move || update_gauges(&gauges))
+    .dump_section("node", part(dump_node))
+    .dump_section("vms", part(dump_vms))
+    .dump_section("endpoints", part(dump_endpoints))
+    .refresh_gauges(move || update_gauges(&gauges))
 }
 
 fn update_gauges(node: &Node) {
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -145,7 +145,7 @@
 
 /// Serves one request.
 pub(super) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
-    let _running = node.running_requests.begin();
+    let _running = node.running_requests.start();
     let arrived = Instant::now();
     let (parts, body) = req.into_parts();
     let head = RequestHead::from(&parts.headers);
--- a/crates/filbertgrade/src/process/operator.rs
+++ b/crates/filbertgrade/src/process/operator.rs
@@ -1,5 +1,5 @@
-//! The operator port of both daemons: `/health`, `/ready`, `/metrics` and
-//! `/dump`.
+//! The operator port, an HTTP server with the paths `/health`, `/ready`,
+//! `/metrics` and `/dump`.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -21,72 +21,77 @@
 
 use crate::logfmt;
 
-/// Connections served at the same time. Operators and one scraper need few;
-/// the limit keeps them from taking what callers need.
-const CONNECTIONS: usize = 32;
+/// Maximum number of connections. Operators and one scraper need few, and the
+/// limit leaves memory and file descriptors to callers.
+const MAX_CONNECTIONS: usize = 32;
 
-/// Time for the head of a request, after which a silent connection is closed.
+/// A connection is closed when the head of a request does not arrive in this
+/// time.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest life of a connection. Scrapers that keep connections open connect
-/// again, and abandoned ones do not use up the limit.
-const CONNECTION_LIFE: Duration = Duration::from_secs(60);
+/// A connection is closed after this time, so that abandoned connections do not
+/// use up the limit. Scrapers that keep connections open connect again.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
 
-/// How often summaries of metrics drop what is too old.
+/// Interval at which the metrics recorder discards old samples of its
+/// summaries.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
-/// The recorder is one for the whole process.
+/// Handle to the metrics recorder, of which a process has only one. `None` when
+/// another recorder was installed before.
 static METRICS: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Why a process is not ready, or nothing when it is.
-type Ready = Box<dyn Fn() -> Result<(), &'static str> + Send + Sync>;
+/// Checks whether the process is ready; the error says why it is not.
+type ReadinessCheck = Box<dyn Fn() -> Result<(), &'static str> + Send + Sync>;
 
-/// One part of the dump.
-type Part = Box<dyn Fn() -> Value + Send + Sync>;
+/// Returns one section of the dump.
+type DumpSection = Box<dyn Fn() -> Value + Send + Sync>;
 
-/// What the operator port of one process shows.
+/// The content of the operator port of one process.
 ///
-/// A dump is one JSON object with a key for each part. It must hold no key,
-/// token, digest or body.
+/// A dump is one JSON object with a key for each section. It must contain no
+/// API key, lease token, digest or request body.
 pub(crate) struct OperatorPort {
-    ready: Ready,
-    parts: Vec<(&'static str, Part)>,
-    gauges: Box<dyn Fn() + Send + Sync>,
+    ready: ReadinessCheck,
+    sections: Vec<(&'static str, DumpSection)>,
+    refresh_gauges: Box<dyn Fn() + Send + Sync>,
 }
 
 impl OperatorPort {
-    /// Makes a port for a process whose readiness `ready` tells.
+    /// Creates a port without dump sections. `ready` is called for each request
+    /// of `/ready`.
     pub(crate) fn new(
         ready: impl Fn() -> Result<(), &'static str> + Send + Sync + 'static,
     ) -> Self {
         Self {
             ready: Box::new(ready),
-            parts: Vec::new(),
-            gauges: Box::new(|| {}),
+            sections: Vec::new(),
+            refresh_gauges: Box::new(|| {}),
         }
     }
 
-    /// Adds a part to the dump. `part` is called for every dump and must not
-    /// block.
-    pub(crate) fn part(
+    /// Adds a section to the dump. `section` is called for every dump and must
+    /// not block.
+    pub(crate) fn dump_section(
         mut self,
         name: &'static str,
-        part: impl Fn() -> Value + Send + Sync + 'static,
+        section: impl Fn() -> Value + Send + Sync + 'static,
     ) -> Self {
-        self.parts.push((name, Box::new(part)));
+        self.sections.push((name, Box::new(section)));
         self
     }
 
-    /// Sets gauges before the metrics are rendered.
-    pub(crate) fn gauges(mut self, set: impl Fn() + Send + Sync + 'static) -> Self {
-        self.gauges = Box::new(set);
+    /// Sets the function that updates the gauges. It is called each time before
+    /// the metrics are rendered, and must not block.
+    pub(crate) fn refresh_gauges(mut self, refresh: impl Fn() + Send + Sync + 'static) -> Self {
+        self.refresh_gauges = Box::new(refresh);
         self
     }
 
-    /// Answers operators until the process is stopped.
+    /// Serves requests until the future is dropped.
     pub(crate) async fn serve(self, listener: TcpListener) {
         let port = Arc::new(self);
-        let connections = Arc::new(Semaphore::new(CONNECTIONS));
+        let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let Ok(permit) = Arc::clone(&connections).acquire_owned().await else {
                 return;
@@ -95,12 +100,12 @@
                 Ok((stream, _)) => {
                     let port = Arc::clone(&port);
                     tokio::spawn(async move {
-                        let handler = service_fn(move |req| answer(Arc::clone(&port), req));
+                        let handler = service_fn(move |req| respond(Arc::clone(&port), req));
                         let connection = hyper::server::conn::http1::Builder::new()
                             .timer(TokioTimer::new())
                             .header_read_timeout(HEAD_TIMEOUT)
                             .serve_connection(TokioIo::new(stream), handler);
-                        let _ = tokio::time::timeout(CONNECTION_LIFE, connection).await;
+                        let _ = tokio::time::timeout(MAX_CONNECTION_AGE, connection).await;
                         drop(permit);
                     });
                 }
@@ -114,17 +119,17 @@
     }
 
     fn dump(&self) -> Value {
-        let parts = self.parts.iter();
-        let parts = parts.map(|(name, part)| ((*name).to_owned(), part()));
-        Value::Object(parts.collect())
+        let sections = self.sections.iter();
+        let sections = sections.map(|(name, section)| ((*name).to_owned(), section()));
+        Value::Object(sections.collect())
     }
 }
 
 impl fmt::Debug for OperatorPort {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let names: Vec<&str> = self.parts.iter().map(|(name, _)| *name).collect();
+        let names: Vec<&str> = self.sections.iter().map(|(name, _)| *name).collect();
         f.debug_struct("OperatorPort")
-            .field("parts", &names)
+            .field("sections", &names)
             .finish_non_exhaustive()
     }
 }
@@ -138,9 +143,10 @@
     TcpListener::bind(address).await
 }
 
-/// Records metrics from here on; what was counted before is lost, so this
-/// comes before any task that counts. Must be called within a runtime. Another recorder that was installed first
-/// stays, and `/metrics` then answers 503.
+/// Installs the metrics recorder. Whatever was counted before is lost, so this
+/// is called before any task that records metrics is started. Must be called
+/// within a Tokio runtime. If another recorder was installed before, it stays,
+/// and `/metrics` responds with 503.
 pub(crate) fn record_metrics() {
     METRICS.get_or_init(|| {
         let handle = match PrometheusBuilder::new().install_recorder() {
@@ -163,16 +169,16 @@
     });
 }
 
-async fn answer(
+async fn respond(
     port: Arc<OperatorPort>,
     req: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if req.method() != Method::GET {
-        let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
-        answer
+        let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
+        response
             .headers_mut()
             .insert(ALLOW, HeaderValue::from_static("GET"));
-        return Ok(answer);
+        return Ok(response);
     }
     Ok(match req.uri().path() {
         "/health" => text(StatusCode::OK, "ok\n"),
@@ -182,13 +188,13 @@
         },
         "/metrics" => match METRICS.get() {
             Some(Some(handle)) => {
-                (port.gauges)();
+                (port.refresh_gauges)();
                 let body = handle.render();
-                typed(StatusCode::OK, "text/plain; version=0.0.4", body)
+                response(StatusCode::OK, "text/plain; version=0.0.4", body)
             }
             _ => text(StatusCode::SERVICE_UNAVAILABLE, "no metrics are recorded\n"),
         },
-        "/dump" => typed(StatusCode::OK, "application/json", port.dump().to_string()),
+        "/dump" => response(StatusCode::OK, "application/json", port.dump().to_string()),
         _ => text(
             StatusCode::NOT_FOUND,
             "/health, /ready, /metrics and /dump exist\n",
@@ -197,18 +203,18 @@
 }
 
 fn text(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    typed(status, "text/plain; charset=utf-8", body)
+    response(status, "text/plain; charset=utf-8", body)
 }
 
-fn typed(
+fn response(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
-    answer
+    response
 }
--- a/crates/filbertgrade/src/process/settings.rs
+++ b/crates/filbertgrade/src/process/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the daemons, from flags and environment variables.
+//! Settings of the entry, the agent and the operators' commands, read from
+//! flags and environment variables.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -7,12 +8,12 @@
 
 use filbertgrade_coord::names::{FailureDomainName, RegionName, VmName};
 
-/// Settings that the entry and the agent of a VM share.
+/// Settings of the entry and the agent, the same for both on one VM.
 #[derive(Clone, Debug)]
-pub struct NodeSettings {
+pub struct VmSettings {
     /// Name of the VM.
     pub vm: VmName,
-    /// IP address of the VM; also the source address of its connections.
+    /// IP address of the VM. The processes listen on it and connect from it.
     pub address: IpAddr,
     /// Region of the VM.
     pub region: RegionName,
@@ -20,22 +21,23 @@
     pub failure_domain: FailureDomainName,
     /// Address of the platform's object API.
     pub store: SocketAddr,
-    /// Ports, the same on every VM.
+    /// Ports of the processes.
     pub ports: Ports,
 }
 
 /// Ports of the processes of a VM, the same on every VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ports {
-    /// Callers' look-ups and requests, at the entry. Default 7080.
+    /// The entry's port for look-ups and requests of callers. Default 7080.
     pub caller: u16,
-    /// Links between entries. Default 7081.
+    /// The entry's port for links with other entries. Default 7081.
     pub entry_peer: u16,
-    /// Links between agents, and from the entry to its agent. Default 7082.
+    /// The agent's port for links with other agents and with the entry of its
+    /// VM. Default 7082.
     pub agent_peer: u16,
-    /// Operators' requests at the entry. Default 7083.
+    /// The entry's port for operators. Default 7083.
     pub entry_operator: u16,
-    /// Operators' requests at the agent. Default 7084.
+    /// The agent's port for operators. Default 7084.
     pub agent_operator: u16,
 }
 
@@ -51,10 +53,10 @@
     }
 }
 
-/// Settings as text, before they are checked. `None` means that the flag was
-/// not given.
+/// Flags of the entry and the agent as text, before they are parsed. `None`
+/// means that the flag was not given.
 #[derive(Clone, Debug, Default)]
-pub struct NodeFlags {
+pub struct VmFlags {
     /// `--vm`
     pub vm: Option<String>,
     /// `--address`
@@ -77,22 +79,24 @@
     pub agent_operator_port: Option<String>,
 }
 
-/// Longest wait of a command by default: twice the time in which a change is
+/// Default limit for the wait of a command: twice the time in which a change is
 /// in force everywhere, rounded down.
-const WAIT_LIMIT_MS: u64 = 15_000;
+const DEFAULT_WAIT_LIMIT_MS: u64 = 15_000;
 
 /// Settings of the operators' commands.
 #[derive(Clone, Debug)]
 pub struct CommandSettings {
     /// Address of the platform's object API.
     pub store: SocketAddr,
-    /// Port of the agents, the same on every VM.
+    /// Port of the agents for links, the same on every VM.
     pub agent_peer_port: u16,
-    /// Longest wait for the fleet to confirm a change. Zero asks once.
+    /// Limit for the wait until the fleet has confirmed a change. With zero,
+    /// each VM is queried once.
     pub wait_limit: Duration,
 }
 
-/// Settings of a command as text, before they are checked.
+/// Flags of a command as text, before they are parsed. `None` means that the
+/// flag was not given.
 #[derive(Clone, Debug, Default)]
 pub struct CommandFlags {
     /// `--store`
@@ -103,7 +107,7 @@
     pub wait_limit_ms: Option<String>,
 }
 
-/// All faults of a process's settings.
+/// All missing or malformed settings of a process.
 #[derive(Debug)]
 pub struct SettingsError {
     faults: Vec<String>,
@@ -116,7 +120,7 @@
         }
     }
 
-    /// One line for each fault.
+    /// A message for each missing or malformed setting, which names its flag.
     #[must_use]
     pub fn faults(&self) -> &[String] {
         &self.faults
@@ -125,22 +129,23 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} faulty settings: ", self.faults.len())?;
+        write!(f, "{} missing or malformed settings: ", self.faults.len())?;
         f.write_str(&self.faults.join("; "))
     }
 }
 
 impl std::error::Error for SettingsError {}
 
-impl NodeSettings {
-    /// Checks flags, and the environment variable of the same name for each
-    /// flag that was not given (`--caller-port` is `FILBERTGRADE_CALLER_PORT`).
+impl VmSettings {
+    /// Parses the flags. `env` returns the value of an environment variable,
+    /// and is used for each flag that was not given: `FILBERTGRADE_CALLER_PORT`
+    /// for `--caller-port`.
     ///
     /// # Errors
     ///
     /// Lists every missing or malformed setting.
     pub fn resolve(
-        flags: NodeFlags,
+        flags: VmFlags,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, SettingsError> {
         let mut reader = Reader {
@@ -195,7 +200,8 @@
 }
 
 impl CommandSettings {
-    /// Checks flags and environment variables, as [`NodeSettings::resolve`].
+    /// Parses flags and environment variables in the same way as
+    /// [`VmSettings::resolve`].
     ///
     /// # Errors
     ///
@@ -211,7 +217,7 @@
         let port = Ports::default().agent_peer;
         let store = reader.required("store", flags.store);
         let agent_peer_port = reader.optional("agent-peer-port", flags.agent_peer_port, port);
-        let wait_ms = reader.optional("wait-limit-ms", flags.wait_limit_ms, WAIT_LIMIT_MS);
+        let wait_ms = reader.optional("wait-limit-ms", flags.wait_limit_ms, DEFAULT_WAIT_LIMIT_MS);
         match store {
             Some(store) if reader.faults.is_empty() => Ok(Self {
                 store,
@@ -225,22 +231,24 @@
     }
 }
 
+/// Reads settings and collects the faults of all of them.
 struct Reader<E> {
     env: E,
     faults: Vec<String>,
 }
 
 impl<E: Fn(&str) -> Option<String>> Reader<E> {
+    /// The text of a setting, from its flag or its environment variable.
     fn text(&self, flag: &str, given: Option<String>) -> Option<String> {
-        given.or_else(|| (self.env)(&variable(flag)))
+        given.or_else(|| (self.env)(&variable_name(flag)))
     }
 
     fn required<T: FromStr>(&mut self, flag: &str, given: Option<String>) -> Option<T>
     where
         T::Err: fmt::Display,
     {
-        let text = self.present(flag, given)?;
-        self.parsed(flag, &text)
+        let text = self.required_text(flag, given)?;
+        self.parse(flag, &text)
     }
 
     fn optional<T: FromStr>(&mut self, flag: &str, given: Option<String>, default: T) -> T
@@ -248,7 +256,7 @@
         T::Err: fmt::Display,
     {
         match self.text(flag, given) {
-            Some(text) => self.parsed(flag, &text).unwrap_or(default),
+            Some(text) => self.parse(flag, &text).unwrap_or(default),
             None => default,
         }
     }
@@ -257,7 +265,7 @@
     where
         T: for<'a> TryFrom<&'a str, Error = filbertgrade_coord::names::NameError>,
     {
-        let text = self.present(flag, given)?;
+        let text = self.required_text(flag, given)?;
         match T::try_from(text.as_str()) {
             Ok(name) => Some(name),
             Err(e) => {
@@ -267,7 +275,8 @@
         }
     }
 
-    /// Each port must be free for its one listener.
+    /// Every listener needs a port of its own, and 0 would make the system
+    /// choose one that the other VMs do not know.
     fn check_ports(&mut self, ports: Ports) {
         let ports = [
             ("caller-port", ports.caller),
@@ -287,17 +296,18 @@
         }
     }
 
-    fn present(&mut self, flag: &str, given: Option<String>) -> Option<String> {
+    /// Like `text`; records a fault when the setting is missing.
+    fn required_text(&mut self, flag: &str, given: Option<String>) -> Option<String> {
         let text = self.text(flag, given);
         if text.is_none() {
-            let variable = variable(flag);
+            let variable = variable_name(flag);
             self.faults
                 .push(format!("--{flag} or {variable} is required"));
         }
         text
     }
 
-    fn parsed<T: FromStr>(&mut self, flag: &str, text: &str) -> Option<T>
+    fn parse<T: FromStr>(&mut self, flag: &str, text: &str) -> Option<T>
     where
         T::Err: fmt::Display,
     {
@@ -311,6 +321,7 @@
     }
 }
 
-fn variable(flag: &str) -> String {
+/// The environment variable that stands for a flag.
+fn variable_name(flag: &str) -> String {
     format!("FILBERTGRADE_{}", flag.to_uppercase().replace('-', "_"))
 }
--- a/crates/filbertgrade/src/process/signals.rs
+++ b/crates/filbertgrade/src/process/signals.rs
@@ -1,29 +1,31 @@
-//! Signals that stop a daemon.
+//! Signals that a daemon handles.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// SIGTERM and SIGINT, which stop a daemon gracefully.
+/// Receiver of SIGTERM and SIGINT, on which a daemon stops gracefully.
 #[derive(Debug)]
 pub struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-/// SIGHUP, which tells a daemon that its settings may have changed.
+/// Returns the stream of SIGHUP signals, on which a daemon reads its settings
+/// again.
 ///
 /// # Errors
 ///
-/// Fails when the operating system refuses.
+/// Fails when the operating system refuses to register a signal handler.
 pub(crate) fn reload_signal() -> std::io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
 impl StopSignals {
-    /// Receives the signals from now on, instead of being ended by them.
+    /// Registers handlers, which replace the default action of ending the
+    /// process.
     ///
     /// # Errors
     ///
-    /// Fails when the operating system refuses.
+    /// Fails when the operating system refuses to register a signal handler.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -31,7 +33,7 @@
         })
     }
 
-    /// Waits for the first signal.
+    /// Waits until one of the two signals is received.
     pub async fn received(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/filbertgrade/src/process/tasks.rs
+++ b/crates/filbertgrade/src/process/tasks.rs
@@ -1,19 +1,19 @@
-//! Background work that a stopping process waits for.
+//! Counts running tasks, so that a stopping process can wait for them.
 
 use std::future::Future;
 
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Counts running tasks. Clones count together.
+/// A counter of running tasks. Clones share one count.
 #[derive(Clone, Debug)]
 pub struct Tasks {
     running: watch::Sender<usize>,
 }
 
-/// Counts as one running task until it is dropped.
+/// Keeps one task counted as running until it is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct TaskGuard {
     running: watch::Sender<usize>,
 }
 
@@ -26,38 +26,38 @@
 }
 
 impl Tasks {
-    /// Counts one more task.
+    /// Counts one more running task, until the guard is dropped.
     #[must_use]
-    pub fn begin(&self) -> Running {
+    pub fn start(&self) -> TaskGuard {
         self.running.send_modify(|n| *n += 1);
-        Running {
+        TaskGuard {
             running: self.running.clone(),
         }
     }
 
-    /// Tasks that run now.
+    /// Number of tasks that are running.
     #[must_use]
     pub fn count(&self) -> usize {
         *self.running.borrow()
     }
 
-    /// Runs `work` as a task of its own.
+    /// Spawns `work` on the runtime and counts it until it ends.
     pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) -> JoinHandle<()> {
-        let running = self.begin();
+        let guard = self.start();
         tokio::spawn(async move {
-            let _running = running;
+            let _guard = guard;
             work.await;
         })
     }
 
-    /// Waits until no task runs.
+    /// Waits until no task is running.
     pub async fn wait(&self) {
         // The sender lives as long as `self`, so the wait cannot fail.
         let _ = self.running.subscribe().wait_for(|n| *n == 0).await;
     }
 }
 
-impl Drop for Running {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
         self.running.send_modify(|n| *n -= 1);
     }
--- a/crates/filbertgrade/tests/explain.rs
+++ b/crates/filbertgrade/tests/explain.rs
@@ -1,27 +1,27 @@
-//! From log lines to the cause of a request's end, and the page that lists the
-//! events.
+//! Tests how `explain` derives the cause from log lines, and that the
+//! operators' page lists every log event.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-use filbertgrade::explain::Story;
+use filbertgrade::explain::RequestHistory;
 use rstest::rstest;
 
-fn story(id: &str, logs: &[(&str, &str)]) -> Story {
-    let mut story = Story::new(id);
+fn read_logs(id: &str, logs: &[(&str, &str)]) -> RequestHistory {
+    let mut history = RequestHistory::new(id);
     for (name, text) in logs {
-        story
+        history
             .read(name, text.as_bytes(), |_| {})
             .expect("a string can be read");
     }
-    story
+    history
 }
 
 const REFUSED: &str =
     "level=info target=x ts=5.000 event=refused id=a1 service=charts team=atelier endpoint=i-3 ";
 
-/// Guards against a cause that names something else than the lines tell.
+/// Guards against a cause that differs from what the log lines show.
 #[rstest]
 #[case::rate(
     "cause=over_rate outcome=not_run",
@@ -38,32 +38,33 @@
 fn refusal_names_its_cause(#[case] fields: &str, #[case] cause: &str) {
     let line = format!("{REFUSED}{fields}\n");
     assert_eq!(
-        story("a1", &[("vm-0", &line)]).cause().as_deref(),
+        read_logs("a1", &[("vm-0", &line)]).cause().as_deref(),
         Some(cause)
     );
 }
 
-/// Guards against a cause that is made up when the lines do not tell one.
+/// Guards against reporting a cause when the log lines do not show one.
 #[rstest]
 #[case::no_end("level=info target=x event=attempt id=a1 result=refused endpoint=i-1 ms=3")]
 #[case::unknown_cause("level=info target=x event=refused id=a1 cause=moonlight outcome=not_run")]
 #[case::other_request("level=info target=x event=refused id=a12 cause=busy outcome=not_run")]
 #[case::other_field("level=info target=x event=refused uid=a1 cause=busy outcome=not_run")]
-fn unknown_cause_is_said_to_be_unknown(#[case] line: &str) {
-    assert_eq!(story("a1", &[("vm-0", line)]).cause(), None);
+fn no_cause_is_given_when_the_lines_do_not_show_one(#[case] line: &str) {
+    assert_eq!(read_logs("a1", &[("vm-0", line)]).cause(), None);
 }
 
-/// Guards against a late answer whose reason is lost among several logs.
+/// Guards against losing the reason of a late answer when the lines of the
+/// request are spread over several logs.
 #[test]
-fn story_follows_time_over_logs_and_tells_beliefs() {
+fn lines_of_several_logs_are_sorted_by_time_and_shown_with_context() {
     let first = "12.1 vm-0 level=info target=x ts=1.000 event=configuration_in_force version=3\n\
                  level=info target=x ts=2.000 event=configuration_in_force version=4\n\
                  garbage\n\
                  level=info target=x ts=9.000 event=answered id=b2 status=200 ms=900 expected_ms=200 load=0 slots=3 repeat=true\n";
     let second = "level=warn target=x ts=8.500 event=attempt id=b2 result=refused endpoint=\"i 1\" ms=40\n\
                   \u{fffd}\u{0}\n";
-    let story = story("b2", &[("one.log", first), ("two.log", second)]);
-    let text = story.to_string();
+    let history = read_logs("b2", &[("one.log", first), ("two.log", second)]);
+    let text = history.to_string();
     let lines: Vec<&str> = text.lines().collect();
     assert!(
         lines[0].contains("believed") && lines[0].contains("version=4"),
@@ -80,7 +81,7 @@
     assert!(lines[4].ends_with("2 lines without an event"), "{text}");
 }
 
-/// Guards against an event that operators meet in a log and not on their page.
+/// Guards against a log event that the operators' page does not describe.
 #[test]
 fn page_lists_every_event_that_is_logged() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/filbertgrade/tests/node/explain.rs
+++ b/crates/filbertgrade/tests/node/explain.rs
@@ -1,6 +1,6 @@
 //! Explains failed requests from the log of a node.
 
-use filbertgrade::explain::Story;
+use filbertgrade::explain::RequestHistory;
 use filbertgrade_standins::node::endpoint::Conduct;
 use filbertgrade_standins::node::store::Trouble;
 use rstest::rstest;
@@ -67,9 +67,9 @@
         .await;
     assert_eq!(response.status, status);
     cluster.nodes[0].line_with(&["id=explained "]).await;
-    let mut story = Story::new("explained");
+    let mut history = RequestHistory::new("explained");
     let log = cluster.nodes[0].log();
-    story.read("vm-0", log.as_bytes(), |_| {}).unwrap();
-    let explained = story.cause().unwrap_or_default();
-    assert!(explained.contains(cause), "{explained:?} in {story}");
+    history.read("vm-0", log.as_bytes(), |_| {}).unwrap();
+    let explained = history.cause().unwrap_or_default();
+    assert!(explained.contains(cause), "{explained:?} in {history}");
 }
--- a/crates/filbertgrade/tests/operators/settings.rs
+++ b/crates/filbertgrade/tests/operators/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the daemons and commands.
 
-use filbertgrade::process::settings::{CommandFlags, CommandSettings, NodeFlags, NodeSettings};
+use filbertgrade::process::settings::{CommandFlags, CommandSettings, VmFlags, VmSettings};
 
 fn set(text: &str) -> Option<String> {
     Some(text.to_owned())
@@ -10,7 +10,7 @@
 /// the first of them.
 #[test]
 fn every_fault_of_the_settings_is_reported() {
-    let flags = NodeFlags {
+    let flags = VmFlags {
         vm: set("VM 1"),
         address: set("0.0.0.0"),
         region: set("north"),
@@ -18,9 +18,9 @@
         caller_port: set("7081"),
         agent_peer_port: set("0"),
         agent_operator_port: set("70000"),
-        ..NodeFlags::default()
+        ..VmFlags::default()
     };
-    let error = NodeSettings::resolve(flags, |_| None).unwrap_err();
+    let error = VmSettings::resolve(flags, |_| None).unwrap_err();
     let faults = error.faults().join("\n");
     assert_eq!(error.faults().len(), 7, "{faults}");
     for fault in [
