--- a/crates/filbertgrade/src/explain/cause.rs
+++ b/crates/filbertgrade/src/explain/cause.rs
@@ -25,7 +25,7 @@
     let field = |name| end.field(name).unwrap_or("unknown");
     let text = match field("cause") {
         "over_rate" => format!("team {} was over its rate", field("team")),
-        "isolated" => "the VM could not tell whether keys were still valid, because it had \
+        "isolated" => "the VM could not verify that keys were still valid, because it had \
                        received nothing from the store for too long"
             .to_owned(),
         "busy" => format!(
--- a/crates/filbertgrade/src/process/command/dev/deployment.rs
+++ b/crates/filbertgrade/src/process/command/dev/deployment.rs
@@ -99,10 +99,10 @@
     servers: Vec<Server>,
     vms: Vec<VmRecord>,
     keys: HashMap<TeamName, Key>,
-    /// Proxies that carry requests, kept running until the deployment is
+    /// Proxies that forward requests, kept running until the deployment is
     /// dropped.
     _request_proxies: Vec<FaultProxy>,
-    /// Proxies that carry only control traffic, with the region of the process
+    /// Proxies that forward only control traffic, with the region of the process
     /// behind them.
     control_proxies: Vec<(RegionName, FaultProxy)>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
--- a/crates/filbertgrade/src/process/command/key.rs
+++ b/crates/filbertgrade/src/process/command/key.rs
@@ -96,7 +96,7 @@
     ))
 }
 
-/// Marks the key as withdrawn; returns a revision from which on it is.
+/// Marks the key as withdrawn. Returns a revision at which it is withdrawn.
 async fn write_withdrawal(platform: &dyn Platform, id: &str) -> Result<Revision, CommandError> {
     let name = object_name(id);
     let unknown = || CommandError::Refused(vec![format!("no key has the id {id:?}")]);
