--- a/crates/filbertgrade/src/process/agent/dump.rs
+++ b/crates/filbertgrade/src/process/agent/dump.rs
@@ -18,10 +18,10 @@
         0 => Err("no state has been received from the store or a peer"),
         _ => Ok(()),
     })
-    .gauges(move || set_gauges(&gauges))
-    .part("process", move || process_state(&process))
-    .part("regions", move || region_evidence(&regions))
-    .part("vms", move || vm_list(&vms))
+    .refresh_gauges(move || set_gauges(&gauges))
+    .dump_section("process", move || process_state(&process))
+    .dump_section("regions", move || region_evidence(&regions))
+    .dump_section("vms", move || vm_list(&vms))
 }
 
 fn set_gauges(agent: &Agent) {
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -23,7 +23,7 @@
 use crate::connection::serve_frames;
 use crate::platform::{HttpPlatform, Platform, Revision};
 use crate::process::operator;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::sync::lock;
 use crate::version::{OutgoingDeltas, VmRecord};
 use crate::wire::EntryReport;
@@ -64,7 +64,7 @@
 /// State that all tasks of the agent share.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    pub(crate) settings: NodeSettings,
+    pub(crate) settings: VmSettings,
     pub(crate) platform: Arc<dyn Platform>,
     state: Mutex<State>,
     /// VMs whose agents pulled from this one while it had no VM list, the most
@@ -139,7 +139,7 @@
 }
 
 impl Agent {
-    fn new(settings: NodeSettings, platform: Arc<dyn Platform>) -> Self {
+    fn new(settings: VmSettings, platform: Arc<dyn Platform>) -> Self {
         let state = State {
             objects: VersionedMap::new(MAX_LOGGED_CHANGES),
             freshness: FreshnessTracker::new(settings.region.clone()),
@@ -219,7 +219,7 @@
 /// # Errors
 ///
 /// Fails when an address cannot be bound.
-pub async fn run(settings: NodeSettings) -> Result<(), AgentError> {
+pub async fn run(settings: VmSettings) -> Result<(), AgentError> {
     let address = SocketAddr::new(settings.address, settings.ports.agent_peer);
     let listener = TcpListener::bind(address)
         .await
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -27,7 +27,7 @@
 use super::links::PeerLinks;
 use super::spill::SpillLimits;
 use crate::logfmt;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::request::{Cause, Refusal};
 use crate::sync::lock;
 use crate::version::{InForce, ServiceName};
@@ -55,7 +55,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    settings: NodeSettings,
+    settings: VmSettings,
     view: Arc<ArcSwap<InForce>>,
     links: Arc<PeerLinks>,
     pools: Mutex<HashMap<PoolId, OwnedPool>>,
@@ -125,7 +125,7 @@
 
 impl Slots {
     pub(crate) fn new(
-        settings: NodeSettings,
+        settings: VmSettings,
         view: Arc<ArcSwap<InForce>>,
         links: Arc<PeerLinks>,
     ) -> Self {
--- a/crates/filbertgrade/tests/node/explain.rs
+++ b/crates/filbertgrade/tests/node/explain.rs
@@ -1,6 +1,6 @@
 //! Explains failed requests from the log of a node.
 
-use filbertgrade::explain::Story;
+use filbertgrade::explain::RequestHistory;
 use filbertgrade_standins::node::endpoint::Conduct;
 use filbertgrade_standins::node::store::Trouble;
 use rstest::rstest;
@@ -13,10 +13,10 @@
 #[rstest]
 #[case::no_key("no key", 401, "carried no key")]
 #[case::unknown_key("unknown key", 401, "unknown or was withdrawn")]
-#[case::no_route("no route", 404, "lead to no route")]
+#[case::no_route("no route", 404, "no route matches")]
 #[case::over_rate("over rate", 429, "over its rate")]
-#[case::no_endpoint("no endpoint", 503, "took work")]
-#[case::store_unreachable("store unreachable", 503, "had not heard of the store")]
+#[case::no_endpoint("no endpoint", 503, "accepted requests")]
+#[case::store_unreachable("store unreachable", 503, "had received nothing from the store")]
 #[case::answer_lost("answer lost", 502, "connection_lost")]
 #[case::silent("silent", 504, "did not answer within the timeout")]
 #[case::failed("fails", 500, "answered 500")]
@@ -67,9 +67,9 @@
         .await;
     assert_eq!(response.status, status);
     cluster.nodes[0].line_with(&["id=explained "]).await;
-    let mut story = Story::new("explained");
+    let mut history = RequestHistory::new("explained");
     let log = cluster.nodes[0].log();
-    story.read("vm-0", log.as_bytes(), |_| {}).unwrap();
-    let explained = story.cause().unwrap_or_default();
-    assert!(explained.contains(cause), "{explained:?} in {story}");
+    history.read("vm-0", log.as_bytes(), |_| {}).unwrap();
+    let explained = history.cause().unwrap_or_default();
+    assert!(explained.contains(cause), "{explained:?} in {history}");
 }
--- a/crates/filbertgrade/tests/operators/settings.rs
+++ b/crates/filbertgrade/tests/operators/settings.rs
@@ -1,6 +1,6 @@
 //! Tests of the settings of daemons and commands.
 
-use filbertgrade::process::settings::{CommandFlags, CommandSettings, NodeFlags, NodeSettings};
+use filbertgrade::process::settings::{CommandFlags, CommandSettings, VmFlags, VmSettings};
 
 /// Returns the value of a flag or variable that is set.
 fn set(text: &str) -> Option<String> {
@@ -11,7 +11,7 @@
 /// first fault.
 #[test]
 fn every_fault_of_the_settings_is_reported() {
-    let flags = NodeFlags {
+    let flags = VmFlags {
         vm: set("VM 1"),
         address: set("0.0.0.0"),
         region: set("north"),
@@ -19,9 +19,9 @@
         caller_port: set("7081"),
         agent_peer_port: set("0"),
         agent_operator_port: set("70000"),
-        ..NodeFlags::default()
+        ..VmFlags::default()
     };
-    let error = NodeSettings::resolve(flags, |_| None).unwrap_err();
+    let error = VmSettings::resolve(flags, |_| None).unwrap_err();
     let faults = error.faults().join("\n");
     assert_eq!(error.faults().len(), 7, "{faults}");
     for fault in [
