--- a/crates/filbertgrade-coord/src/names.rs
+++ b/crates/filbertgrade-coord/src/names.rs
@@ -106,9 +106,9 @@
 enum NameErrorKind {
     #[error("a name must not be empty")]
     Empty,
-    #[error("a name of {0} bytes is longer than the limit of {MAX_NAME_LEN} bytes")]
+    #[error("a name of {0} bytes is longer than {MAX_NAME_LEN}")]
     TooLong(usize),
-    #[error("a name must not contain {0:?}, only a-z, 0-9 and '-'")]
+    #[error("character {0:?} is not one of a-z, 0-9 and '-'")]
     InvalidCharacter(char),
 }
 
