--- a/crates/filbertgrade-standins/src/node/endpoint.rs
+++ b/crates/filbertgrade-standins/src/node/endpoint.rs
@@ -11,7 +11,7 @@
 
 /// What an endpoint does with its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum EndpointBehavior {
     /// It serves them.
     Serves,
     /// It says that it did not run the request.
@@ -39,7 +39,7 @@
     pub id: String,
     /// Where it takes requests.
     pub address: SocketAddr,
-    conduct: Arc<Mutex<Conduct>>,
+    behavior: Arc<Mutex<EndpointBehavior>>,
     work: Duration,
     ran: Arc<Mutex<Vec<Run>>>,
 }
@@ -64,7 +64,7 @@
         let endpoint = Self {
             id: id.to_owned(),
             address: listener.local_addr()?,
-            conduct: Arc::new(Mutex::new(Conduct::Serves)),
+            behavior: Arc::new(Mutex::new(EndpointBehavior::Serves)),
             work,
             ran: Arc::default(),
         };
@@ -80,12 +80,12 @@
     }
 
     /// Changes what it does with its requests.
-    pub fn conduct(&self, conduct: Conduct) {
-        *lock(&self.conduct) = conduct;
+    pub fn set_behavior(&self, behavior: EndpointBehavior) {
+        *lock(&self.behavior) = behavior;
     }
 
     /// Heads of the requests that it ran, in lower case.
-    pub fn ran(&self) -> Vec<String> {
+    pub fn run_heads(&self) -> Vec<String> {
         lock(&self.ran).iter().map(|run| run.head.clone()).collect()
     }
 
@@ -100,15 +100,15 @@
             let Some(head) = read_request(&mut stream, &mut buf).await? else {
                 return Ok(());
             };
-            let conduct = *lock(&self.conduct);
+            let behavior = *lock(&self.behavior);
             let id = header(&head, "x-filbertgrade-request-id");
-            match conduct {
-                Conduct::Refuses => {
+            match behavior {
+                EndpointBehavior::Refuses => {
                     let answer = "HTTP/1.1 503 Busy\r\nx-filbertgrade-not-executed: 1\r\ncontent-length: 0\r\n\r\n";
                     stream.write_all(answer.as_bytes()).await?;
                     continue;
                 }
-                Conduct::IsAnother => {
+                EndpointBehavior::IsAnother => {
                     stream
                         .write_all(b"HTTP/1.1 421 Other\r\ncontent-length: 0\r\n\r\n")
                         .await?;
@@ -119,22 +119,22 @@
             let at = Instant::now();
             lock(&self.ran).push(Run { head, at });
             tokio::time::sleep(self.work).await;
-            match conduct {
-                Conduct::LosesAnswer => return Ok(()),
-                Conduct::Silent => std::future::pending().await,
+            match behavior {
+                EndpointBehavior::LosesAnswer => return Ok(()),
+                EndpointBehavior::Silent => std::future::pending().await,
                 _ => {}
             }
-            let status = if conduct == Conduct::Fails {
+            let status = if behavior == EndpointBehavior::Fails {
                 "500 Failed"
             } else {
                 "200 OK"
             };
-            let echoed = if conduct == Conduct::CrossesAnswers {
+            let echoed = if behavior == EndpointBehavior::CrossesAnswers {
                 "another"
             } else {
                 &id
             };
-            let seal = if conduct == Conduct::Unsigned {
+            let seal = if behavior == EndpointBehavior::Unsigned {
                 "x-none"
             } else {
                 "x-filbertgrade-server-seal"
@@ -145,7 +145,7 @@
                 body.len()
             );
             stream.write_all(answer.as_bytes()).await?;
-            if conduct == Conduct::CutsAnswers {
+            if behavior == EndpointBehavior::CutsAnswers {
                 return stream.write_all(&body.as_bytes()[..5]).await;
             }
             stream.write_all(body.as_bytes()).await?;
--- a/crates/filbertgrade-standins/src/node/mod.rs
+++ b/crates/filbertgrade-standins/src/node/mod.rs
@@ -12,7 +12,7 @@
 /// A program that listens there can use any port, and finds it free when it is
 /// started anew, while a port that was free on the common address may be taken
 /// by then.
-pub fn own_address() -> Ipv4Addr {
+pub fn unique_loopback_address() -> Ipv4Addr {
     /// Addresses of one process before they are used again.
     const ADDRESSES: u32 = 250;
     static CALLS: AtomicU32 = AtomicU32::new(0);
--- a/crates/filbertgrade-standins/src/node/store.rs
+++ b/crates/filbertgrade-standins/src/node/store.rs
@@ -20,11 +20,11 @@
 
 /// What the store does wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StoreFault {
     /// Nothing.
     None,
     /// It takes calls and does not answer.
-    Silent,
+    Unresponsive,
     /// It refuses calls.
     Busy,
 }
@@ -36,7 +36,7 @@
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     changed: watch::Sender<u64>,
-    trouble: watch::Sender<Trouble>,
+    fault: watch::Sender<StoreFault>,
 }
 
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
             address: listener.local_addr()?,
             state: Arc::default(),
             changed: watch::Sender::new(0),
-            trouble: watch::Sender::new(Trouble::None),
+            fault: watch::Sender::new(StoreFault::None),
         };
         let serving = store.clone();
         tokio::spawn(async move {
@@ -81,13 +81,13 @@
         Ok(store)
     }
 
-    /// Begins or ends a trouble.
-    pub fn set_trouble(&self, trouble: Trouble) {
-        self.trouble.send_replace(trouble);
+    /// Begins or ends a fault.
+    pub fn set_fault(&self, fault: StoreFault) {
+        self.fault.send_replace(fault);
     }
 
     /// Calls that cost their full price.
-    pub fn calls(&self) -> u64 {
+    pub fn full_cost_calls(&self) -> u64 {
         lock(&self.state).calls
     }
 
@@ -146,12 +146,12 @@
         if !req.uri().query().is_some_and(is_stale) {
             lock(&self.state).calls += 1;
         }
-        let mut trouble = self.trouble.subscribe();
-        let now = *trouble.borrow_and_update();
+        let mut fault = self.fault.subscribe();
+        let now = *fault.borrow_and_update();
         match now {
-            Trouble::None => {}
-            Trouble::Busy => return reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
-            Trouble::Silent => std::future::pending().await,
+            StoreFault::None => {}
+            StoreFault::Busy => return reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
+            StoreFault::Unresponsive => std::future::pending().await,
         }
         let (parts, body) = req.into_parts();
         let Ok(body) = body.collect().await else {
@@ -180,13 +180,13 @@
             let answer = self.read(&kind, watch, Duration::from_millis(wait));
             // A call that waits is lost with the store, or refused by it.
             let lost = async {
-                let trouble = trouble.wait_for(|t| *t != Trouble::None).await;
-                trouble.map_or(Trouble::None, |trouble| *trouble)
+                let fault = fault.wait_for(|t| *t != StoreFault::None).await;
+                fault.map_or(StoreFault::None, |fault| *fault)
             };
             return tokio::select! {
                 answer = answer => answer,
-                trouble = lost => match trouble {
-                    Trouble::Busy => reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
+                fault = lost => match fault {
+                    StoreFault::Busy => reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
                     _ => std::future::pending().await,
                 },
             };
--- a/crates/filbertgrade-standins/src/soak/inject.rs
+++ b/crates/filbertgrade-standins/src/soak/inject.rs
@@ -12,8 +12,8 @@
 use super::promises::Span;
 use super::{COLD_TIME, ENDPOINTS, World};
 use crate::common::lock;
-use crate::node::endpoint::Conduct;
-use crate::node::store::Trouble;
+use crate::node::endpoint::EndpointBehavior;
+use crate::node::store::StoreFault;
 use crate::proxy::{self, Direction};
 
 /// Delay of a slow way.
@@ -86,8 +86,8 @@
             vms[vm].lock().await.signal(Signal::CONT);
         }
         Fault::StopVm(vm) => stop(world, &vms[vm], length).await,
-        Fault::StoreSilent => store_trouble(world, Trouble::Silent, length).await,
-        Fault::StoreBusy => store_trouble(world, Trouble::Busy, length).await,
+        Fault::StoreSilent => store_trouble(world, StoreFault::Unresponsive, length).await,
+        Fault::StoreBusy => store_trouble(world, StoreFault::Busy, length).await,
         Fault::StoreForgets => world.store.forget_history(),
         Fault::StoreSlow(vm) => {
             let slow = proxy::Fault {
@@ -110,10 +110,10 @@
             vms[vm].lock().await.store.set_refuse(false);
         }
         Fault::StoreResets(vm) => vms[vm].lock().await.store.cut_open(),
-        Fault::Endpoint(endpoint, conduct) => {
-            world.endpoints[endpoint].conduct(conduct);
+        Fault::Endpoint(endpoint, behavior) => {
+            world.endpoints[endpoint].set_behavior(behavior);
             tokio::time::sleep(length).await;
-            world.endpoints[endpoint].conduct(Conduct::Serves);
+            world.endpoints[endpoint].set_behavior(EndpointBehavior::Serves);
         }
         Fault::EndpointResets(endpoint) => world.proxies[endpoint].cut_open(),
         Fault::EndpointSilent(endpoint) => world.proxies[endpoint].freeze_open(),
@@ -173,10 +173,10 @@
     restart(vm).await;
 }
 
-async fn store_trouble(world: &World, trouble: Trouble, length: Duration) {
-    world.store.set_trouble(trouble);
+async fn store_trouble(world: &World, trouble: StoreFault, length: Duration) {
+    world.store.set_fault(trouble);
     tokio::time::sleep(length).await;
-    world.store.set_trouble(Trouble::None);
+    world.store.set_fault(StoreFault::None);
 }
 
 async fn store_fault(vm: &SharedVm, fault: proxy::Fault, length: Duration) {
--- a/crates/filbertgrade-standins/src/soak/mod.rs
+++ b/crates/filbertgrade-standins/src/soak/mod.rs
@@ -29,8 +29,8 @@
 use self::promises::{Ledger, Ran, Sent, Span, TeamLimit, Violation};
 use crate::common::lock;
 use crate::node::endpoint::{Endpoint, header};
-use crate::node::own_address;
 use crate::node::store::Store;
+use crate::node::unique_loopback_address;
 use crate::proxy::FaultProxy;
 
 /// Endpoints of a run.
@@ -141,7 +141,7 @@
         println!("  {fault}");
     }
     let world = Arc::new(World::new().await?);
-    let ip = own_address();
+    let ip = unique_loopback_address();
     let mut vms = Vec::new();
     for number in 0..options.vms {
         let store = world.store.address;
--- a/crates/filbertgrade-standins/src/soak/plan.rs
+++ b/crates/filbertgrade-standins/src/soak/plan.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::node::endpoint::Conduct;
+use crate::node::endpoint::EndpointBehavior;
 
 /// Time at the start without faults, in which the fleet comes up.
 pub(super) const CALM_START: Duration = Duration::from_secs(4);
@@ -69,7 +69,7 @@
     /// Nothing comes back from the store to one VM.
     StoreOneWay(usize),
     /// An endpoint misbehaves.
-    Endpoint(usize, Conduct),
+    Endpoint(usize, EndpointBehavior),
     /// Connections to an endpoint are reset.
     EndpointResets(usize),
     /// Connections to an endpoint carry nothing, in both directions.
@@ -124,15 +124,15 @@
 }
 
 fn draw(rng: &mut StdRng, vms: usize, endpoints: usize, domains: usize) -> Fault {
-    const CONDUCTS: [Conduct; 8] = [
-        Conduct::Refuses,
-        Conduct::LosesAnswer,
-        Conduct::Silent,
-        Conduct::CrossesAnswers,
-        Conduct::Unsigned,
-        Conduct::CutsAnswers,
-        Conduct::Fails,
-        Conduct::IsAnother,
+    const CONDUCTS: [EndpointBehavior; 8] = [
+        EndpointBehavior::Refuses,
+        EndpointBehavior::LosesAnswer,
+        EndpointBehavior::Silent,
+        EndpointBehavior::CrossesAnswers,
+        EndpointBehavior::Unsigned,
+        EndpointBehavior::CutsAnswers,
+        EndpointBehavior::Fails,
+        EndpointBehavior::IsAnother,
     ];
     let vm = rng.random_range(0..vms);
     let endpoint = rng.random_range(0..endpoints);
--- a/crates/filbertgrade/tests/node/cluster.rs
+++ b/crates/filbertgrade/tests/node/cluster.rs
@@ -12,8 +12,8 @@
 use tokio::process::{Child, Command};
 
 use filbertgrade_standins::node::endpoint::Endpoint;
-use filbertgrade_standins::node::own_address;
 use filbertgrade_standins::node::store::Store;
+use filbertgrade_standins::node::unique_loopback_address;
 
 /// Longest wait for a condition that is met within milliseconds on an idle
 /// machine.
@@ -135,7 +135,7 @@
     pub(crate) fn requests_run(&self) -> usize {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.ran().len())
+            .map(|endpoint| endpoint.run_heads().len())
             .sum()
     }
 
@@ -147,7 +147,7 @@
 
 impl Node {
     pub(crate) async fn start(name: &str, store: SocketAddr) -> Self {
-        let ip = own_address();
+        let ip = unique_loopback_address();
         let [callers, lookups, ready, peers, metrics] = PORTS;
         let address = |port: u16| SocketAddr::from((ip, port));
         let dir = tempfile::tempdir().unwrap();
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use crate::cluster::{TestCluster, eventually};
-use filbertgrade_standins::node::store::Trouble;
+use filbertgrade_standins::node::store::StoreFault;
 
 /// Required time for a change to take effect.
 const CHANGE_TIME_LIMIT: Duration = Duration::from_millis(2_500);
@@ -35,13 +35,13 @@
 /// which a withdrawal would go unnoticed, and against public routes that fail
 /// in it.
 #[rstest]
-#[case(Trouble::Silent)]
-#[case(Trouble::Busy)]
+#[case(StoreFault::Unresponsive)]
+#[case(StoreFault::Busy)]
 #[tokio::test]
-async fn keys_are_refused_while_the_store_is_unavailable(#[case] trouble: Trouble) {
+async fn keys_are_refused_while_the_store_is_unavailable(#[case] fault: StoreFault) {
     let cluster = TestCluster::start(&[1]).await;
     assert_eq!(cluster.get("safe", "b1").await.status, 200);
-    cluster.store.set_trouble(trouble);
+    cluster.store.set_fault(fault);
     let elapsed = eventually("the key is refused", || async {
         cluster.get("safe", "b2").await.status == 503
     })
@@ -59,7 +59,7 @@
             .status,
         200
     );
-    cluster.store.set_trouble(Trouble::None);
+    cluster.store.set_fault(StoreFault::None);
     let elapsed = eventually("the key is accepted", || async {
         cluster.get("safe", "b4").await.status == 200
     })
--- a/crates/filbertgrade/tests/node/explain.rs
+++ b/crates/filbertgrade/tests/node/explain.rs
@@ -1,8 +1,8 @@
 //! Explains failed requests from the log of a node.
 
 use filbertgrade::explain::Story;
-use filbertgrade_standins::node::endpoint::Conduct;
-use filbertgrade_standins::node::store::Trouble;
+use filbertgrade_standins::node::endpoint::EndpointBehavior;
+use filbertgrade_standins::node::store::StoreFault;
 use rstest::rstest;
 use serde_json::json;
 
@@ -22,13 +22,13 @@
 #[case::failed("fails", 500, "answered 500")]
 #[tokio::test]
 async fn log_lines_of_a_failed_request_name_its_cause(
-    #[case] trouble: &str,
+    #[case] fault: &str,
     #[case] status: u16,
     #[case] cause: &str,
 ) {
     let mut cluster = TestCluster::start(&[1]).await;
     let (mut route, mut key) = ("order", Some(KEY));
-    match trouble {
+    match fault {
         "no key" => key = None,
         "unknown key" => key = Some("another"),
         "no route" => route = "nowhere",
@@ -52,15 +52,15 @@
                 .await;
         }
         "store unreachable" => {
-            cluster.store.set_trouble(Trouble::Silent);
+            cluster.store.set_fault(StoreFault::Unresponsive);
             eventually("the node is no longer ready", || async {
                 !cluster.nodes[0].is_ready().await
             })
             .await;
         }
-        "answer lost" => cluster.endpoints[0].conduct(Conduct::LosesAnswer),
-        "silent" => cluster.endpoints[0].conduct(Conduct::Silent),
-        _ => cluster.endpoints[0].conduct(Conduct::Fails),
+        "answer lost" => cluster.endpoints[0].set_behavior(EndpointBehavior::LosesAnswer),
+        "silent" => cluster.endpoints[0].set_behavior(EndpointBehavior::Silent),
+        _ => cluster.endpoints[0].set_behavior(EndpointBehavior::Fails),
     }
     let response = cluster.nodes[0]
         .request("GET", route, "explained", key)
--- a/crates/filbertgrade/tests/node/fleet.rs
+++ b/crates/filbertgrade/tests/node/fleet.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::cluster::{Node, TestCluster, eventually};
-use filbertgrade_standins::node::store::Trouble;
+use filbertgrade_standins::node::store::StoreFault;
 
 /// Guards against nodes that do not discover each other, and against look-ups
 /// that name a killed node for too long.
@@ -34,9 +34,9 @@
     })
     .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let before = cluster.store.calls();
+    let before = cluster.store.full_cost_calls();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let calls = cluster.store.calls() - before;
+    let calls = cluster.store.full_cost_calls() - before;
     // A single node makes about three calls per second.
     assert!(calls <= 18, "{calls} calls in 3 s");
     cluster.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
@@ -62,7 +62,7 @@
     })
     .await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let calls = cluster.store.calls();
+    let calls = cluster.store.full_cost_calls();
     // Each node writes its entry and reads the configuration. The node that
     // follows the store reads all kinds and makes four calls per second, and
     // more while entries of VMs are written.
@@ -74,7 +74,7 @@
 #[tokio::test]
 async fn request_waits_for_the_first_read_of_the_store() {
     let cluster = TestCluster::with_nodes(&[1], 0).await;
-    cluster.store.set_trouble(Trouble::Busy);
+    cluster.store.set_fault(StoreFault::Busy);
     let node = Node::start("vm-0", cluster.store.address).await;
     eventually("the node listens", || async {
         tokio::net::TcpStream::connect(node.callers).await.is_ok()
@@ -83,7 +83,7 @@
     let request = node.request("GET", "safe", "w1", Some(crate::cluster::KEY));
     let restore = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        cluster.store.set_trouble(Trouble::None);
+        cluster.store.set_fault(StoreFault::None);
     };
     let (response, ()) = tokio::join!(request, restore);
     assert_eq!(response.status, 200);
--- a/crates/filbertgrade/tests/node/requests.rs
+++ b/crates/filbertgrade/tests/node/requests.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 use crate::cluster::{KEY, TestCluster};
-use filbertgrade_standins::node::endpoint::{Conduct, header};
+use filbertgrade_standins::node::endpoint::{EndpointBehavior, header};
 
 /// Guards against a request that reaches a backend server with the caller's
 /// key, without its team, or with the name of another endpoint.
@@ -16,7 +16,7 @@
     assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(response.body, "answer of i-0 to a1");
     assert_eq!(header(&response.head, "x-filbertgrade-server-seal"), "s");
-    let head = cluster.endpoints[0].ran().remove(0);
+    let head = cluster.endpoints[0].run_heads().remove(0);
     assert!(!head.contains(KEY));
     assert_eq!(header(&head, "x-filbertgrade-tenant"), "atelier");
     assert_eq!(header(&head, "x-filbertgrade-expected-instance"), "i-0");
@@ -65,22 +65,28 @@
 /// Guards against a non-idempotent request that runs twice, and against a
 /// response which says that it did not run although it may have.
 #[rstest]
-#[case::lost(Conduct::LosesAnswer, 502)]
-#[case::crossed(Conduct::CrossesAnswers, 502)]
-#[case::unsigned(Conduct::Unsigned, 502)]
-#[case::cut(Conduct::CutsAnswers, 502)]
-#[case::silent(Conduct::Silent, 504)]
-#[case::failed(Conduct::Fails, 500)]
+#[case::lost(EndpointBehavior::LosesAnswer, 502)]
+#[case::crossed(EndpointBehavior::CrossesAnswers, 502)]
+#[case::unsigned(EndpointBehavior::Unsigned, 502)]
+#[case::cut(EndpointBehavior::CutsAnswers, 502)]
+#[case::silent(EndpointBehavior::Silent, 504)]
+#[case::failed(EndpointBehavior::Fails, 500)]
 #[tokio::test]
-async fn non_idempotent_request_runs_at_most_once(#[case] conduct: Conduct, #[case] status: u16) {
+async fn non_idempotent_request_runs_at_most_once(
+    #[case] behavior: EndpointBehavior,
+    #[case] status: u16,
+) {
     let cluster = TestCluster::start(&[10, 10]).await;
-    cluster.endpoints.iter().for_each(|e| e.conduct(conduct));
+    cluster
+        .endpoints
+        .iter()
+        .for_each(|e| e.set_behavior(behavior));
     let response = cluster.nodes[0]
         .request("POST", "order", "d1", Some(KEY))
         .await;
     assert_eq!(response.status, status);
     assert_eq!(cluster.requests_run(), 1);
-    if conduct != Conduct::Fails {
+    if behavior != EndpointBehavior::Fails {
         let line = cluster.nodes[0]
             .line_with(&["event=refused", "id=d1"])
             .await;
@@ -94,20 +100,20 @@
 /// Guards against idempotent requests that fail although another endpoint would
 /// serve them.
 #[rstest]
-#[case::refused(Conduct::Refuses)]
-#[case::lost(Conduct::LosesAnswer)]
-#[case::crossed(Conduct::CrossesAnswers)]
-#[case::unsigned(Conduct::Unsigned)]
-#[case::cut(Conduct::CutsAnswers)]
-#[case::silent(Conduct::Silent)]
-#[case::failed(Conduct::Fails)]
-#[case::another(Conduct::IsAnother)]
+#[case::refused(EndpointBehavior::Refuses)]
+#[case::lost(EndpointBehavior::LosesAnswer)]
+#[case::crossed(EndpointBehavior::CrossesAnswers)]
+#[case::unsigned(EndpointBehavior::Unsigned)]
+#[case::cut(EndpointBehavior::CutsAnswers)]
+#[case::silent(EndpointBehavior::Silent)]
+#[case::failed(EndpointBehavior::Fails)]
+#[case::another(EndpointBehavior::IsAnother)]
 #[tokio::test]
-async fn idempotent_request_is_retried_on_another_endpoint(#[case] conduct: Conduct) {
+async fn idempotent_request_is_retried_on_another_endpoint(#[case] behavior: EndpointBehavior) {
     let cluster = TestCluster::start(&[10, 10]).await;
     let first = cluster.get("safe", "e0").await;
     let first_endpoint = usize::from(first.body.contains("i-1"));
-    cluster.endpoints[first_endpoint].conduct(conduct);
+    cluster.endpoints[first_endpoint].set_behavior(behavior);
     let response = cluster.get("safe", "e1").await;
     assert_eq!((response.status, response.is_complete), (200, true));
     assert_eq!(
@@ -119,14 +125,16 @@
 /// Guards against a non-idempotent request that fails although the endpoint
 /// confirmed that it did not run it, so that another one could.
 #[rstest]
-#[case(Conduct::Refuses)]
-#[case(Conduct::IsAnother)]
+#[case(EndpointBehavior::Refuses)]
+#[case(EndpointBehavior::IsAnother)]
 #[tokio::test]
-async fn refused_non_idempotent_request_is_retried_on_another_endpoint(#[case] conduct: Conduct) {
+async fn refused_non_idempotent_request_is_retried_on_another_endpoint(
+    #[case] behavior: EndpointBehavior,
+) {
     let cluster = TestCluster::start(&[10, 10]).await;
     let first = cluster.get("safe", "f0").await;
     let first_endpoint = usize::from(first.body.contains("i-1"));
-    cluster.endpoints[first_endpoint].conduct(conduct);
+    cluster.endpoints[first_endpoint].set_behavior(behavior);
     let response = cluster.nodes[0]
         .request("POST", "order", "f1", Some(KEY))
         .await;
@@ -142,7 +150,7 @@
     cluster
         .endpoints
         .iter()
-        .for_each(|e| e.conduct(Conduct::Refuses));
+        .for_each(|e| e.set_behavior(EndpointBehavior::Refuses));
     let sent_at = Instant::now();
     let response = cluster.nodes[0]
         .request("POST", "order", "g1", Some(KEY))
