--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -20,7 +20,7 @@
 use crate::logfmt;
 use crate::platform::{Condition, PlatformError, Revision};
 use crate::version::{
-    InForce, SHARE_TABLE, STEERING, VmRecord, decode_share_table, encode_share_table,
+    InForce, SHARE_TABLE, STEERING_WEIGHTS, VmRecord, decode_share_table, encode_share_table,
 };
 use crate::wire::{Body, StatusRequest};
 
@@ -78,6 +78,7 @@
     rendezvous::top(LEASE_OBJECT, live.map(|vm| &vm.name), CANDIDATES).contains(&vm)
 }
 
+/// State of the allocator task.
 struct Allocator {
     agent: Arc<Agent>,
     lease: Lease,
@@ -216,6 +217,8 @@
         }
     }
 
+    /// The share table to publish next; `None` when there is nothing to publish
+    /// or a VM has not yet put the current table into effect.
     async fn next_table(
         &mut self,
         token: FencingToken,
@@ -224,7 +227,7 @@
     ) -> Option<ShareTable> {
         if table.token() < token && table.version() > 0 {
             // The first write under a new token changes the revision, so a
-            // write that the previous holder has still in flight fails.
+            // write that the previous holder still has in flight fails.
             return Some(table.with_token(token));
         }
         let now = Instant::now();
@@ -263,7 +266,10 @@
             if state.objects.revision() > self.in_force.revision {
                 self.in_force = InForce::build(&state.objects, &self.in_force);
             }
-            state.objects.get(STEERING).map(|entry| entry.revision)
+            state
+                .objects
+                .get(STEERING_WEIGHTS)
+                .map(|entry| entry.revision)
         };
         let now = Instant::now();
         let table = &self.in_force.steering;
@@ -293,7 +299,12 @@
         let Some(next) = next else { return };
         let condition = stored.map_or(Condition::Absent, Condition::At);
         let value = Bytes::from(next.encode());
-        match self.agent.platform.put(STEERING, value, condition).await {
+        match self
+            .agent
+            .platform
+            .put(STEERING_WEIGHTS, value, condition)
+            .await
+        {
             Ok(_) => log::info!(
                 "event=weights_published step={} token={}",
                 next.step,
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -23,7 +23,7 @@
 use crate::connection::serve_frames;
 use crate::platform::{HttpPlatform, Platform, Revision};
 use crate::process::operator;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::sync::lock;
 use crate::version::{OutgoingDeltas, VmRecord};
 use crate::wire::EntryReport;
@@ -64,7 +64,7 @@
 /// State that all tasks of the agent share.
 #[derive(Debug)]
 pub(crate) struct Agent {
-    pub(crate) settings: NodeSettings,
+    pub(crate) settings: VmSettings,
     pub(crate) platform: Arc<dyn Platform>,
     state: Mutex<State>,
     /// VMs whose agents pulled from this one while it had no VM list, the most
@@ -88,11 +88,12 @@
 pub(crate) struct State {
     /// Objects of the store. The revision never decreases.
     pub(crate) objects: VersionedMap<Bytes>,
-    /// Evidence on the store and the other regions.
+    /// Evidence about the store and the regions.
     pub(crate) freshness: FreshnessTracker,
     /// VMs in the platform's list; updated together with `objects`.
     pub(crate) vms: Vec<VmRecord>,
-    /// Role of this agent among `vms`; updated together with them.
+    /// Peers and duties of this agent, derived from `vms`; updated together with
+    /// them.
     pub(crate) topology: Topology,
     /// When this agent received its first state.
     first_state_at: Option<Instant>,
@@ -138,7 +139,7 @@
 }
 
 impl Agent {
-    fn new(settings: NodeSettings, platform: Arc<dyn Platform>) -> Self {
+    fn new(settings: VmSettings, platform: Arc<dyn Platform>) -> Self {
         let state = State {
             objects: VersionedMap::new(MAX_LOGGED_CHANGES),
             freshness: FreshnessTracker::new(settings.region.clone()),
@@ -185,7 +186,7 @@
         Ok(applied)
     }
 
-    /// This agent as a member of the dissemination.
+    /// This agent as a [`Member`], for the choice of peers and relays.
     pub(crate) fn as_member(&self) -> Member {
         Member {
             vm: self.settings.vm.clone(),
@@ -218,7 +219,7 @@
 /// # Errors
 ///
 /// Fails when an address cannot be bound.
-pub async fn run(settings: NodeSettings) -> Result<(), AgentError> {
+pub async fn run(settings: VmSettings) -> Result<(), AgentError> {
     let address = SocketAddr::new(settings.address, settings.ports.agent_peer);
     let listener = TcpListener::bind(address)
         .await
@@ -251,7 +252,7 @@
         .collect()
 }
 
-/// The VM as a member of the dissemination; `None` when it is leaving.
+/// The agent of `vm` as a [`Member`]; `None` when the VM is leaving.
 fn live_member(vm: &VmRecord) -> Option<Member> {
     vm.is_live().then(|| Member {
         vm: vm.name.clone(),
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -21,7 +21,7 @@
 use super::response::{Body, json, refuse};
 use super::{Entry, forward, lookup};
 use crate::logfmt;
-use crate::process::tasks::Running;
+use crate::process::tasks::TaskGuard;
 use crate::request::{Cause, Refusal};
 
 /// Maximum number of callers' connections open at a time. Each costs a few
@@ -111,11 +111,11 @@
 fn accept(entry: &Arc<Entry>, stream: TcpStream, peer: SocketAddr, close: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
     if entry.caller_connections.count() >= MAX_CONNECTIONS {
-        tokio::spawn(refuse_connection(stream, entry.refused_callers.begin()));
+        tokio::spawn(refuse_connection(stream, entry.refused_callers.start()));
         return;
     }
     let entry = Arc::clone(entry);
-    let running = entry.caller_connections.begin();
+    let running = entry.caller_connections.start();
     tokio::spawn(async move {
         let _running = running;
         match is_http2(&stream).await {
@@ -127,7 +127,7 @@
 }
 
 /// Refuses a connection beyond the limit without reading from it.
-async fn refuse_connection(mut stream: TcpStream, _running: Running) {
+async fn refuse_connection(mut stream: TcpStream, _running: TaskGuard) {
     let refusal = Refusal::not_run(Cause::TooManyConnections);
     let (cause, outcome) = (refusal.cause(), refusal.outcome());
     let body = format!("{{\"cause\":\"{cause}\",\"outcome\":\"{outcome}\"}}");
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -31,7 +31,7 @@
 use crate::connection::{Pool, serve_frames};
 use crate::platform::HttpPlatform;
 use crate::process::operator;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::process::tasks::Tasks;
 use crate::request::{Guard, RetryBudget};
 use crate::sync::lock;
@@ -58,7 +58,7 @@
 /// State of the entry that all requests share.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub(crate) settings: NodeSettings,
+    pub(crate) settings: VmSettings,
     pub(crate) in_force: Arc<ArcSwap<InForce>>,
     /// Until when the state in force may be relied on; `None` when the VM is
     /// isolated or its agent has not yet confirmed the state.
@@ -86,7 +86,7 @@
 }
 
 impl Entry {
-    fn new(settings: NodeSettings) -> Self {
+    fn new(settings: VmSettings) -> Self {
         let in_force = Arc::new(ArcSwap::default());
         let links = Arc::new(PeerLinks::new(settings.clone()));
         let background = Tasks::default();
@@ -137,7 +137,7 @@
 ///
 /// Returns an error when a listening address cannot be bound.
 pub async fn run(
-    settings: NodeSettings,
+    settings: VmSettings,
     stop: impl Future<Output = ()> + Send,
 ) -> Result<(), EntryError> {
     let address = SocketAddr::new(settings.address, settings.ports.caller);
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -27,7 +27,7 @@
 use super::links::PeerLinks;
 use super::spill::SpillLimits;
 use crate::logfmt;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::request::{Cause, Refusal};
 use crate::sync::lock;
 use crate::version::{InForce, ServiceName};
@@ -55,7 +55,7 @@
 
 #[derive(Debug)]
 struct Shared {
-    settings: NodeSettings,
+    settings: VmSettings,
     view: Arc<ArcSwap<InForce>>,
     links: Arc<PeerLinks>,
     pools: Mutex<HashMap<PoolId, OwnedPool>>,
@@ -125,7 +125,7 @@
 
 impl Slots {
     pub(crate) fn new(
-        settings: NodeSettings,
+        settings: VmSettings,
         view: Arc<ArcSwap<InForce>>,
         links: Arc<PeerLinks>,
     ) -> Self {
@@ -282,7 +282,7 @@
     ) -> (RegionName, Vec<RegionName>) {
         let own = &self.shared.settings.region;
         let first = view
-            .routes
+            .region_splits
             .region_for(&criteria.service, own, rand::random::<f64>());
         let mut candidate_regions = view.region_order(Some(first.unwrap_or(own)));
         candidate_regions.retain(|region| {
@@ -290,7 +290,7 @@
                 .any(|(endpoint, _)| !criteria.avoid.contains(&endpoint))
         });
         let has_share = |region: &RegionName| {
-            Some(region) == first || view.routes.is_other_choice(&criteria.service, region)
+            Some(region) == first || view.region_splits.accepts_spill(&criteria.service, region)
         };
         if candidate_regions.iter().any(has_share) {
             candidate_regions.retain(has_share);
@@ -548,7 +548,7 @@
     /// is a live one, otherwise any live VM.
     fn owner(&self, view: &InForce, id: &PoolId) -> Option<VmName> {
         let key = format!("{}/{}", id.service, id.region);
-        let live = || view.vms.values().filter(|vm| view.takes_work(vm));
+        let live = || view.vms.values().filter(|vm| view.accepts_work(vm));
         let of_region = live()
             .filter(|vm| vm.region == id.region)
             .map(|vm| &vm.name);
--- a/crates/filbertgrade/tests/operators/main.rs
+++ b/crates/filbertgrade/tests/operators/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the operators' side: configuration files, commands and the
-//! operator port.
+//! Tests of what operators use: configuration files, commands, settings, logs and
+//! the operator port.
 
 #![expect(
     clippy::unwrap_used,
@@ -9,10 +9,7 @@
 mod apply;
 mod config;
 mod drain;
-#[expect(
-    dead_code,
-    reason = "other test targets use the parts of the harness with proxies"
-)]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 #[path = "../it/fleet.rs"]
 mod fleet;
 mod key;
@@ -24,32 +21,32 @@
 
 use self::fleet::{Fleet, invoke};
 
-/// What a command printed and exited with.
+/// Exit code and output of a command.
 #[derive(Debug)]
-struct Ran {
+struct CommandOutput {
     code: i32,
-    out: String,
-    err: String,
+    stdout: String,
+    stderr: String,
 }
 
-/// Runs a command against the fleet's store, `--store` included.
-async fn run(fleet: &Fleet, args: &[&str]) -> Ran {
+/// Runs a command with `--store` set to the fleet's store.
+async fn run(fleet: &Fleet, args: &[&str]) -> CommandOutput {
     let store = fleet.platform.addr().to_string();
     let (command, rest) = args.split_first().unwrap();
     let mut args = vec![*command, "--store", &store];
     args.extend(rest);
     let output = invoke(&args).await;
-    Ran {
+    CommandOutput {
         code: output.status.code().unwrap(),
-        out: String::from_utf8(output.stdout).unwrap(),
-        err: String::from_utf8(output.stderr).unwrap(),
+        stdout: String::from_utf8(output.stdout).unwrap(),
+        stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-/// A configuration file that lives as long as the value.
-struct File(tempfile::NamedTempFile);
+/// A temporary configuration file, removed when the value is dropped.
+struct TempConfig(tempfile::NamedTempFile);
 
-impl File {
+impl TempConfig {
     fn new(text: &str) -> Self {
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(text.as_bytes()).unwrap();
--- a/crates/filbertgrade/tests/path/http2.rs
+++ b/crates/filbertgrade/tests/path/http2.rs
@@ -17,7 +17,7 @@
     let (fleet, secret) = ready_fleet(1).await;
     let mut tasks = Vec::new();
     for caller in 0..4 {
-        let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+        let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
             .await
             .unwrap();
         let (sender, connection) =
@@ -68,7 +68,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_response_is_not_delivered_to_another_request() {
     let (fleet, secret) = ready_fleet(1).await;
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
@@ -99,7 +99,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn oversized_headers_end_their_stream_only() {
     let (fleet, secret) = ready_fleet(1).await;
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -42,7 +42,7 @@
 async fn reported_outcomes_match_the_runs(#[values(1, 2, 3)] seed: u64) {
     let (fleet, secret) = ready_fleet(2).await;
     let until = Instant::now() + FAULT_DURATION;
-    let vms = [fleet.vms[0].callers(), fleet.vms[1].callers()];
+    let vms = [fleet.vms[0].caller_address(), fleet.vms[1].caller_address()];
     let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|n| tokio::spawn(run_caller(vms, secret.clone(), seed * 100 + n, until)))
         .collect();
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -51,7 +51,7 @@
     let req = request(&secret, "/chart/big?bytes=100000000", "big")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -82,7 +82,7 @@
         .header("x-deadline-ms", "800")
         .body(Full::<Bytes>::default())
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -142,7 +142,7 @@
                 .header("idempotency-key", &id)
                 .body(Full::from("leather"))
                 .unwrap();
-            send(fleet.vms[n % 2].callers(), req)
+            send(fleet.vms[n % 2].caller_address(), req)
         });
         let responses = futures::future::join_all(attempts).await;
         let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
@@ -175,7 +175,7 @@
             body.map(|chunk| chunk.map(Frame::data)).boxed(),
         ))
         .unwrap();
-    let stream = tokio::net::TcpStream::connect(fleet.vms[0].callers())
+    let stream = tokio::net::TcpStream::connect(fleet.vms[0].caller_address())
         .await
         .unwrap();
     let (mut sender, connection) =
