--- a/crates/filbertgrade/examples/agents_at_scale.rs
+++ b/crates/filbertgrade/examples/agents_at_scale.rs
@@ -1,4 +1,5 @@
-//! Measures what agents cost as their number grows, and prints one JSON object.
+//! Measures processor time, memory, traffic and update latency of agents for
+//! growing numbers of them, and prints one JSON object.
 //!
 //! ```text
 //! cargo build --release
@@ -6,15 +7,18 @@
 //!     --agents 10,50,100,200 --runs 3 [--seed N] [--listed N] [--stream-s N] [--rest-s N]
 //! ```
 //!
-//! Every agent is a process of the product's binary on its own loopback
-//! address. The platform stand-in runs in a process of its own. The store's
-//! list holds as many VMs as there are agents, in failure domains of the
-//! target's size and at least two regions. With `--listed`, it holds more:
-//! the additional records carry the addresses of the running agents, so that
-//! an agent works with a list of the target's size.
+//! Every agent is a process of the `filbertgrade` binary on its own loopback
+//! address. The platform stand-in runs in a separate process. The store lists
+//! as many VMs as there are agents, in failure domains of the same size as in
+//! the target deployment and in at least two regions. With `--listed`, the
+//! store lists more VMs: the additional records have the addresses of the
+//! running agents, so that the agents work with a list of the target's size.
 //!
-//! The program ends the processes that it started, and starts at most
-//! [`MOST_AGENTS`] of them at a time.
+//! `--stream-s` is the duration of each phase with changes at a constant rate,
+//! and `--rest-s` that of the phase without changes.
+//!
+//! The program kills the processes that it started when it ends, and runs at
+//! most [`MAX_AGENTS`] agents at a time.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -34,48 +38,53 @@
 use serde_json::{Value, json};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// VMs, failure domains and regions of the target.
+/// VMs of the target deployment.
 const TARGET_VMS: usize = 3_500;
+/// Failure domains of the target deployment.
 const TARGET_DOMAINS: usize = 72;
+/// Regions of the target deployment.
 const TARGET_REGIONS: usize = 20;
 
-const MOST_AGENTS: usize = 210;
+/// Maximum number of agents that run at a time.
+const MAX_AGENTS: usize = 210;
 
-/// Longest time for all agents of a run to hold the first state.
+/// Maximum time until all agents of a run have the first change.
 const START_LIMIT: Duration = Duration::from_secs(60);
 
-/// Longest time for one change to reach all agents.
-const HOLD_LIMIT: Duration = Duration::from_secs(20);
+/// Maximum time until all agents have a change.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(20);
 
-/// Changes per second at the target: 2,600 a day.
-const TARGET_RATE: f64 = 2_600.0 / 86_400.0;
+/// Changes per second in the target deployment: 2,600 a day.
+const TARGET_CHANGES_PER_S: f64 = 2_600.0 / 86_400.0;
 
-/// Content of one change, in bytes.
+/// Size of the value that a change writes.
 const VALUE_BYTES: usize = 1_024;
 
-/// Changes of the phase that gives the cost of one change: high enough a rate
-/// that the cost stands out against the cost at rest.
+/// Number of changes in the burst, from which the cost of one change is computed.
 const BURST_CHANGES: usize = 50;
-const BURST_PAUSE: Duration = Duration::from_millis(100);
+/// Time between the changes of the burst. The rate is high enough for the cost of changes to stand
+/// out against the cost without changes.
+const BURST_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Number of single changes, each written after the one before has reached all agents.
 const SINGLE_CHANGES: usize = 5;
 
-/// Length of the store's outage: past the freshness bound of 5 s, so that
-/// agents depend on the evidence of the regions.
+/// Duration of the store outage. It exceeds the freshness bound of 5 s, so that agents depend on
+/// the evidence from the regions.
 const OUTAGE: Duration = Duration::from_secs(12);
 
-/// From here on no confirmation is young enough: the freshness bound and a
-/// second for answers under way.
-const SETTLED_AFTER: Duration = Duration::from_secs(6);
+/// Time in the outage after which all confirmations by the store are too old: the freshness bound
+/// of 5 s and 1 s for responses in transit.
+const CONFIRMATIONS_EXPIRED_AFTER: Duration = Duration::from_secs(6);
 
-/// Time in which the store's calls are counted after the outage.
-const RETURN: Duration = Duration::from_secs(3);
+/// Time after the outage in which calls to the store are counted.
+const RECOVERY_WINDOW: Duration = Duration::from_secs(3);
 
-/// Clock ticks per second in `/proc/<pid>/stat`, fixed on Linux.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second, the unit of processor times in `/proc/<pid>/stat`. Fixed on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
 /// Worker threads of each agent, as on a small VM.
-const WORKERS: &str = "2";
+const WORKER_THREADS: &str = "2";
 
 fn main() -> Result<()> {
     let mut args: Vec<String> = std::env::args().skip(1).collect();
@@ -90,7 +99,7 @@
     let options = Options::parse(&args)?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
-        // Leaving `measure` ends the processes that it started.
+        // Dropping the future of `measure` kills the processes that it started.
         tokio::select! {
             result = measure(&options) => result,
             _ = terminate.recv() => bail!("terminated"),
@@ -100,12 +109,17 @@
 }
 
 struct Options {
+    /// Numbers of agents to measure.
     agents: Vec<usize>,
     runs: usize,
     seed: u64,
+    /// Minimum number of VMs in the store's list.
     listed: usize,
+    /// Duration of each phase with changes at a constant rate.
     stream: Duration,
-    rest: Duration,
+    /// Duration of the phase without changes.
+    idle: Duration,
+    /// Path of the `filbertgrade` binary.
     binary: PathBuf,
 }
 
@@ -117,12 +131,14 @@
             seed: 1,
             listed: 0,
             stream: Duration::from_secs(30),
-            rest: Duration::from_secs(10),
-            binary: beside_examples()?,
+            idle: Duration::from_secs(10),
+            binary: filbertgrade_binary()?,
         };
         let mut args = args.iter();
         while let Some(flag) = args.next() {
-            let value = args.next().ok_or_else(|| anyhow!("{flag} has no value"))?;
+            let value = args
+                .next()
+                .ok_or_else(|| anyhow!("{flag} requires a value"))?;
             match flag.as_str() {
                 "--agents" => {
                     options.agents = value.split(',').map(str::parse).collect::<Result<_, _>>()?;
@@ -131,30 +147,29 @@
                 "--seed" => options.seed = value.parse()?,
                 "--listed" => options.listed = value.parse()?,
                 "--stream-s" => options.stream = Duration::from_secs(value.parse()?),
-                "--rest-s" => options.rest = Duration::from_secs(value.parse()?),
+                "--rest-s" => options.idle = Duration::from_secs(value.parse()?),
                 "--binary" => options.binary = value.into(),
                 _ => bail!("unknown flag {flag}"),
             }
         }
-        if options
-            .agents
-            .iter()
-            .any(|n| !(1..=MOST_AGENTS).contains(n))
-        {
-            bail!("the number of agents must be from 1 to {MOST_AGENTS}");
+        if options.agents.iter().any(|n| !(1..=MAX_AGENTS).contains(n)) {
+            bail!("the number of agents must be from 1 to {MAX_AGENTS}");
         }
         Ok(options)
     }
 }
 
-fn beside_examples() -> Result<PathBuf> {
+/// Returns the path of the `filbertgrade` binary in the target directory that holds this example.
+fn filbertgrade_binary() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let release = own.parent().and_then(Path::parent);
-    Ok(release.context("no directory")?.join("filbertgrade"))
+    Ok(release
+        .context("the example is not in a target directory")?
+        .join("filbertgrade"))
 }
 
-/// Runs the stand-in until the standard input ends. The lines `down` and `up`
-/// begin and end an outage; every line is answered with the counts.
+/// Runs the platform stand-in until the end of standard input. The lines `down` and `up` start and
+/// end an outage. After each line of input, the counts are printed as one line.
 async fn serve_store(address: SocketAddr) -> Result<()> {
     let platform = PlatformServer::bind(address).await?;
     println!("ready");
@@ -183,6 +198,7 @@
     Ok(())
 }
 
+/// Runs all measurements and prints the report.
 async fn measure(options: &Options) -> Result<()> {
     let mut results = Vec::new();
     for run in 1..=options.runs {
@@ -196,8 +212,8 @@
         "seed": options.seed,
         "listed": options.listed,
         "value_bytes": VALUE_BYTES,
-        "workers_per_agent": WORKERS,
-        "target_changes_per_s": TARGET_RATE,
+        "workers_per_agent": WORKER_THREADS,
+        "target_changes_per_s": TARGET_CHANGES_PER_S,
         "runs": results,
         "slopes": slopes(&results),
     });
@@ -205,20 +221,23 @@
     Ok(())
 }
 
+/// Runs one measurement with `count` agents.
 async fn measure_once(options: &Options, count: usize, run: usize) -> Result<Value> {
     let load_before = load_average()?;
     let mut fleet = Fleet::start(options, count, run).await?;
-    let started = fleet.wait_for_start().await?;
+    let start_time = fleet.wait_for_start().await?;
     fleet.memory()?;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let rest = fleet.phase(options.rest).await?;
+    let idle = fleet.idle_phase(options.idle).await?;
     let mut single = Vec::new();
     for _ in 0..SINGLE_CHANGES {
-        single.push(fleet.change_and_hold().await?);
+        single.push(fleet.change_and_wait().await?);
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    let target = fleet.stream(options.stream, TARGET_RATE).await?;
-    let tenfold = fleet.stream(options.stream, TARGET_RATE * 10.0).await?;
+    let target = fleet.stream(options.stream, TARGET_CHANGES_PER_S).await?;
+    let tenfold = fleet
+        .stream(options.stream, TARGET_CHANGES_PER_S * 10.0)
+        .await?;
     let burst = fleet.burst().await?;
     let memory = fleet.memory()?;
     let outage = fleet.outage().await?;
@@ -227,12 +246,12 @@
         "run": run,
         "load_before": load_before,
         "load_after": load_average()?,
-        "start_to_first_state_s": started.as_secs_f64(),
-        "rest": rest,
+        "start_to_first_state_s": start_time.as_secs_f64(),
+        "rest": idle,
         "hold_ms": {
-            "single": milliseconds(&single),
-            "stream_target": milliseconds(&target),
-            "stream_tenfold": milliseconds(&tenfold),
+            "single": latency_summary_ms(&single),
+            "stream_target": latency_summary_ms(&target),
+            "stream_tenfold": latency_summary_ms(&tenfold),
         },
         "burst": burst,
         "memory": memory,
@@ -240,39 +259,45 @@
     }))
 }
 
-/// The processes of one run. Dropping it ends them.
+/// The processes of one run. They are killed when it is dropped.
 struct Fleet {
     agents: Vec<AgentProcess>,
     store: StoreProcess,
+    /// Client of the platform stand-in.
     platform: HttpPlatform,
-    written: usize,
-    /// Of the last change.
+    /// Number of changes written so far.
+    changes: usize,
+    /// Revision of the last change.
     revision: u64,
 }
 
+/// A running agent and a link to it.
 struct AgentProcess {
     child: Child,
     link: PeerLink,
 }
 
+/// The running platform stand-in; see [`serve_store`].
 struct StoreProcess {
     child: Child,
+    /// `None` only while the process is being stopped.
     input: Option<ChildStdin>,
     output: BufReader<ChildStdout>,
 }
 
+/// A VM in the store's list.
 #[derive(Clone)]
-struct Place {
+struct ListedVm {
     name: String,
     address: IpAddr,
     region: String,
     domain: String,
 }
 
-impl Place {
+impl ListedVm {
     fn new(n: usize, listed: usize, address: IpAddr, run_seed: u64) -> Self {
-        let regions = in_proportion(listed, TARGET_REGIONS);
-        let domain = n % in_proportion(listed, TARGET_DOMAINS);
+        let regions = scale_to_fleet(listed, TARGET_REGIONS);
+        let domain = n % scale_to_fleet(listed, TARGET_DOMAINS);
         Self {
             name: format!("vm-{run_seed}-{n:04}"),
             address,
@@ -281,6 +306,7 @@
         }
     }
 
+    /// Returns the VM's record in the store.
     fn record(&self) -> String {
         json!({
             "name": self.name,
@@ -303,27 +329,28 @@
 
 impl Fleet {
     async fn start(options: &Options, count: usize, run: usize) -> Result<Self> {
-        // Runs with different seeds may go on at the same time.
-        let third = u8::try_from((options.seed as usize * 10 + run) % 200)?;
-        let store_address = SocketAddr::new(Ipv4Addr::new(127, 60, 250, third + 1).into(), 6000);
+        // Runs with different seeds use different addresses, so that they can run at the same time.
+        let third_octet = u8::try_from((options.seed as usize * 10 + run) % 200)?;
+        let store_address =
+            SocketAddr::new(Ipv4Addr::new(127, 60, 250, third_octet + 1).into(), 6000);
         let store = StoreProcess::start(store_address)?;
         let platform = HttpPlatform::new(store_address, None);
         let seed = options.seed * 1_000 + run as u64;
         let listed = options.listed.max(count);
-        let places: Vec<Place> = (0..listed)
+        let vms: Vec<ListedVm> = (0..listed)
             .map(|n| {
-                // The additional records share the addresses of the agents.
+                // VMs without an agent get the address of one that has an agent.
                 let host = u8::try_from(n % count + 1)?;
-                let address = Ipv4Addr::new(127, 60, third, host).into();
-                Ok(Place::new(n, listed, address, seed))
+                let address = Ipv4Addr::new(127, 60, third_octet, host).into();
+                Ok(ListedVm::new(n, listed, address, seed))
             })
             .collect::<Result<_>>()?;
-        let mut running = chosen_to_run(&places, count)?;
-        let writes = places.iter().map(|place| {
+        let mut running = choose_running(&vms, count)?;
+        let writes = vms.iter().map(|vm| {
             let platform = &platform;
             async move {
-                let name = format!("vms/{}", place.name);
-                let value = Bytes::from(place.record());
+                let name = format!("vms/{}", vm.name);
+                let value = Bytes::from(vm.record());
                 platform.put(&name, value, Condition::Absent).await
             }
         });
@@ -333,133 +360,144 @@
             .await;
         written.into_iter().collect::<Result<Vec<_>, _>>()?;
         let mut agents = Vec::new();
-        for (n, place) in running.iter_mut().enumerate() {
+        for (n, vm) in running.iter_mut().enumerate() {
             let host = u8::try_from(n + 1)?;
-            place.address = Ipv4Addr::new(127, 60, third, host).into();
-            agents.push(AgentProcess::start(&options.binary, place, store_address)?);
+            vm.address = Ipv4Addr::new(127, 60, third_octet, host).into();
+            agents.push(AgentProcess::start(&options.binary, vm, store_address)?);
         }
         Ok(Self {
             agents,
             store,
             platform,
-            written: 0,
+            changes: 0,
             revision: 0,
         })
     }
 
-    /// Waits until all agents hold a change that is written now.
+    /// Writes a change and waits until all agents have it.
     async fn wait_for_start(&mut self) -> Result<Duration> {
         let started = Instant::now();
         let revision = self.change().await?;
-        self.all_hold(revision, started + START_LIMIT).await?;
+        self.wait_for_all(revision, started + START_LIMIT).await?;
         Ok(started.elapsed())
     }
 
+    /// Writes a change to the store and returns its revision.
     async fn change(&mut self) -> Result<u64> {
-        self.written += 1;
-        let name = format!("config/part/scale-{}", self.written % 64);
-        let value = Bytes::from(format!("{:0VALUE_BYTES$}", self.written));
-        let written = self.platform.put(&name, value, Condition::Always);
-        self.revision = written.await?;
+        self.changes += 1;
+        let name = format!("config/part/scale-{}", self.changes % 64);
+        let value = Bytes::from(format!("{:0VALUE_BYTES$}", self.changes));
+        let put = self.platform.put(&name, value, Condition::Always);
+        self.revision = put.await?;
         Ok(self.revision)
     }
 
-    /// Time from the store's answer to a write until the last agent holds it.
-    async fn change_and_hold(&mut self) -> Result<Duration> {
+    /// Writes a change. Returns the time from the store's response until the last agent has the
+    /// change.
+    async fn change_and_wait(&mut self) -> Result<Duration> {
         let revision = self.change().await?;
         let accepted = Instant::now();
-        self.all_hold(revision, accepted + HOLD_LIMIT).await
+        self.wait_for_all(revision, accepted + PROPAGATION_LIMIT)
+            .await
     }
 
-    async fn all_hold(&self, revision: u64, deadline: Instant) -> Result<Duration> {
-        let begun = Instant::now();
+    /// Waits until all agents have `revision`, and returns the time that took. Fails after
+    /// `deadline`.
+    async fn wait_for_all(&self, revision: u64, deadline: Instant) -> Result<Duration> {
+        let started = Instant::now();
         let waits = self
             .agents
             .iter()
-            .map(|agent| agent.holds(revision, deadline));
+            .map(|agent| agent.wait_for(revision, deadline));
         let results = futures::future::join_all(waits).await;
         results.into_iter().collect::<Result<Vec<_>>>()?;
-        Ok(begun.elapsed())
+        Ok(started.elapsed())
     }
 
-    /// Changes at `rate` per second for `time`, at least one.
+    /// Writes changes at `rate` per second for `time`, at least one. Returns the time that each
+    /// change took to reach all agents.
     async fn stream(&mut self, time: Duration, rate: f64) -> Result<Vec<Duration>> {
         let started = Instant::now();
         let changes = (time.as_secs_f64() * rate).floor().max(1.0);
-        let pause = time.div_f64(changes);
-        let mut held = Vec::new();
+        let interval = time.div_f64(changes);
+        let mut latencies = Vec::new();
         for n in 0..changes as u32 {
-            let due = started + pause * n + pause / 2;
+            let due = started + interval * n + interval / 2;
             tokio::time::sleep_until(due.into()).await;
-            held.push(self.change_and_hold().await?);
+            latencies.push(self.change_and_wait().await?);
         }
         tokio::time::sleep_until((started + time).into()).await;
-        Ok(held)
+        Ok(latencies)
     }
 
-    /// Cost of changes that follow each other closely.
+    /// Measures the cost of changes in quick succession.
     async fn burst(&mut self) -> Result<Value> {
         let before = self.sample().await?;
         let mut revision = 0;
         for _ in 0..BURST_CHANGES {
             revision = self.change().await?;
-            tokio::time::sleep(BURST_PAUSE).await;
+            tokio::time::sleep(BURST_INTERVAL).await;
         }
-        self.all_hold(revision, Instant::now() + HOLD_LIMIT).await?;
+        self.wait_for_all(revision, Instant::now() + PROPAGATION_LIMIT)
+            .await?;
         let after = self.sample().await?;
         let mut cost = after.since(&before, self.agents.len());
         cost["changes"] = json!(BURST_CHANGES);
         Ok(cost)
     }
 
-    /// How long agents may rely on their state while the store is out, and what
-    /// they ask of it when it is back.
+    /// Measures for how long the state of the agents is valid during a store outage, and the calls
+    /// that they make to the store after it.
     async fn outage(&mut self) -> Result<Value> {
         self.store.counts("down")?;
-        let began = Instant::now();
-        let mut valid = Vec::new();
-        let mut settled = Vec::new();
-        while began.elapsed() < OUTAGE {
+        let started = Instant::now();
+        let mut all_valid_ms = Vec::new();
+        let mut late_valid_ms = Vec::new();
+        while started.elapsed() < OUTAGE {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            let answers = self
+            let queries = self
                 .agents
                 .iter()
                 .map(|agent| agent.valid_ms(self.revision));
-            for answer in futures::future::join_all(answers).await {
-                let answer = answer?;
-                valid.push(answer);
-                if began.elapsed() > SETTLED_AFTER {
-                    settled.push(answer);
+            for valid_ms in futures::future::join_all(queries).await {
+                let valid_ms = valid_ms?;
+                all_valid_ms.push(valid_ms);
+                if started.elapsed() > CONFIRMATIONS_EXPIRED_AFTER {
+                    late_valid_ms.push(valid_ms);
                 }
             }
         }
         let before = self.store.counts("up")?;
-        let back = Instant::now();
+        let outage_end = Instant::now();
         let revision = self.change().await?;
-        let held = self.all_hold(revision, Instant::now() + HOLD_LIMIT).await?;
-        tokio::time::sleep(RETURN.saturating_sub(back.elapsed())).await;
+        let latency = self
+            .wait_for_all(revision, Instant::now() + PROPAGATION_LIMIT)
+            .await?;
+        tokio::time::sleep(RECOVERY_WINDOW.saturating_sub(outage_end.elapsed())).await;
         let after = self.store.counts("counts")?;
         Ok(json!({
             "seconds": OUTAGE.as_secs(),
-            "answers": valid.len(),
-            "isolated_answers": valid.iter().filter(|ms| **ms == 0.0).count(),
-            "settled_valid_ms_min": settled.iter().copied().fold(f64::MAX, f64::min),
-            "settled_valid_ms_mean": mean(&settled),
-            "valid_ms_min": valid.iter().copied().fold(f64::MAX, f64::min),
-            "valid_ms_mean": mean(&valid),
-            "first_change_held_ms": held.as_secs_f64() * 1_000.0,
+            "answers": all_valid_ms.len(),
+            "isolated_answers": all_valid_ms.iter().filter(|ms| **ms == 0.0).count(),
+            "settled_valid_ms_min": late_valid_ms.iter().copied().fold(f64::MAX, f64::min),
+            "settled_valid_ms_mean": mean(&late_valid_ms),
+            "valid_ms_min": all_valid_ms.iter().copied().fold(f64::MAX, f64::min),
+            "valid_ms_mean": mean(&all_valid_ms),
+            "first_change_held_ms": latency.as_secs_f64() * 1_000.0,
             "store_calls_after": after.iter().zip(&before).take(3).map(|(new, old)| new - old).sum::<f64>(),
-            "after_seconds": back.elapsed().as_secs_f64(),
+            "after_seconds": outage_end.elapsed().as_secs_f64(),
         }))
     }
 
-    async fn phase(&mut self, time: Duration) -> Result<Value> {
+    /// Measures the cost without changes.
+    async fn idle_phase(&mut self, time: Duration) -> Result<Value> {
         let before = self.sample().await?;
         tokio::time::sleep(time).await;
         let after = self.sample().await?;
         Ok(after.since(&before, self.agents.len()))
     }
 
+    /// Reads the counters of all agents and of the store.
     async fn sample(&mut self) -> Result<Sample> {
         let replies = self.agents.iter().map(AgentProcess::traffic);
         let traffic: Vec<LinkTraffic> = futures::future::join_all(replies)
@@ -478,95 +516,96 @@
         })
     }
 
-    /// Memory and open files of the agents.
+    /// Returns memory and open files of the agents.
     ///
     /// # Errors
     ///
-    /// Fails when the agents together take half of the machine's memory.
+    /// Fails if the agents together use more than half of the machine's memory.
     fn memory(&self) -> Result<Value> {
         let mut rss = Vec::new();
         let mut peak = Vec::new();
-        let mut links = Vec::new();
+        let mut open_files = Vec::new();
         for agent in &self.agents {
             let status = std::fs::read_to_string(format!("/proc/{}/status", agent.child.id()))?;
             rss.push(field_kb(&status, "VmRSS:")? / 1024.0);
             peak.push(field_kb(&status, "VmHWM:")? / 1024.0);
             let open = std::fs::read_dir(format!("/proc/{}/fd", agent.child.id()))?;
-            links.push(open.count() as f64);
+            open_files.push(open.count() as f64);
         }
         let machine = std::fs::read_to_string("/proc/meminfo")?;
         if rss.iter().sum::<f64>() > field_kb(&machine, "MemTotal:")? / 1024.0 / 2.0 {
-            bail!("the agents take more than half of the machine's memory");
+            bail!("the agents use more than half of the machine's memory");
         }
         Ok(json!({
             "rss_mb": mean(&rss),
-            "rss_mb_max": highest(&rss),
-            "peak_mb_max": highest(&peak),
-            "open_files": mean(&links),
-            "open_files_max": highest(&links),
+            "rss_mb_max": maximum(&rss),
+            "peak_mb_max": maximum(&peak),
+            "open_files": mean(&open_files),
+            "open_files_max": maximum(&open_files),
         }))
     }
 }
 
-/// `of_target` scaled down to a fleet of `vms`; at least two.
-fn in_proportion(vms: usize, of_target: usize) -> usize {
-    let rounded = (vms * of_target + TARGET_VMS / 2) / TARGET_VMS;
+/// Scales a number of regions or failure domains of the target down to a fleet of `vms`. Returns at
+/// least two.
+fn scale_to_fleet(vms: usize, target_count: usize) -> usize {
+    let rounded = (vms * target_count + TARGET_VMS / 2) / TARGET_VMS;
     rounded.max(2)
 }
 
-/// The VMs whose agents run. When the list is longer than the fleet, relays
-/// are among them in the same proportion as in the list, and at least two.
-fn chosen_to_run(places: &[Place], count: usize) -> Result<Vec<Place>> {
-    if places.len() == count {
-        return Ok(places.to_vec());
+/// Returns the VMs whose agents run. If the list is longer than `count`, relays are among them in
+/// the same proportion as in the list, and at least two.
+fn choose_running(vms: &[ListedVm], count: usize) -> Result<Vec<ListedVm>> {
+    if vms.len() == count {
+        return Ok(vms.to_vec());
     }
-    let members: Vec<Member> = places.iter().map(Place::member).collect::<Result<_>>()?;
-    let domains = in_proportion(places.len(), TARGET_DOMAINS);
-    let mut relaying = Vec::new();
+    let members: Vec<Member> = vms.iter().map(ListedVm::member).collect::<Result<_>>()?;
+    let domains = scale_to_fleet(vms.len(), TARGET_DOMAINS);
+    let mut relay_names = Vec::new();
     for member in &members[..domains] {
-        relaying.extend(relays(&member.failure_domain, &members));
+        relay_names.extend(relays(&member.failure_domain, &members));
     }
-    let share = (RELAYS_PER_DOMAIN * domains * count)
-        .div_ceil(places.len())
+    let relay_count = (RELAYS_PER_DOMAIN * domains * count)
+        .div_ceil(vms.len())
         .max(2);
-    let is_relay = |place: &&Place| relaying.iter().any(|vm| vm.as_str() == place.name);
-    let relay_places = places.iter().filter(is_relay).take(share);
-    let others = places.iter().filter(|place| !is_relay(place));
-    Ok(relay_places.chain(others).take(count).cloned().collect())
+    let is_relay = |vm: &&ListedVm| relay_names.iter().any(|name| name.as_str() == vm.name);
+    let relay_vms = vms.iter().filter(is_relay).take(relay_count);
+    let others = vms.iter().filter(|vm| !is_relay(vm));
+    Ok(relay_vms.chain(others).take(count).cloned().collect())
 }
 
 impl AgentProcess {
-    fn start(binary: &Path, place: &Place, store: SocketAddr) -> Result<Self> {
+    fn start(binary: &Path, vm: &ListedVm, store: SocketAddr) -> Result<Self> {
         let child = Command::new(binary)
             .arg("agent")
-            .args(["--vm", &place.name])
-            .args(["--address", &place.address.to_string()])
-            .args(["--region", &place.region])
-            .args(["--failure-domain", &place.domain])
+            .args(["--vm", &vm.name])
+            .args(["--address", &vm.address.to_string()])
+            .args(["--region", &vm.region])
+            .args(["--failure-domain", &vm.domain])
             .args(["--store", &store.to_string()])
             .env("RUST_LOG", "error")
-            .env("TOKIO_WORKER_THREADS", WORKERS)
+            .env("TOKIO_WORKER_THREADS", WORKER_THREADS)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .spawn()
             .with_context(|| format!("cannot start {}", binary.display()))?;
-        let link = PeerLink::new(SocketAddr::new(place.address, 7082), None);
+        let link = PeerLink::new(SocketAddr::new(vm.address, 7082), None);
         Ok(Self { child, link })
     }
 
-    /// Waits until the agent holds `revision`. The agent answers as soon as it
-    /// does, so that no polling adds to the time.
-    async fn holds(&self, revision: u64, deadline: Instant) -> Result<()> {
+    /// Waits until the agent has `revision`. The agent responds as soon as it does, so that the
+    /// measured time contains no polling interval.
+    async fn wait_for(&self, revision: u64, deadline: Instant) -> Result<()> {
         while Instant::now() < deadline {
-            let hello = FeedRequest {
+            let request = FeedRequest {
                 revision: revision - 1,
                 resume: None,
             };
-            let answer = self
+            let response = self
                 .link
-                .call(Body::FeedRequest(hello), Duration::from_secs(2))
+                .call(Body::FeedRequest(request), Duration::from_secs(2))
                 .await;
-            match answer {
+            match response {
                 Ok(Body::Feed(feed)) => {
                     if feed.delta.is_some_and(|delta| delta.to >= revision) {
                         return Ok(());
@@ -577,33 +616,37 @@
             }
         }
         bail!(
-            "agent {} does not hold revision {revision}",
+            "agent process {} did not receive revision {revision} in time",
             self.child.id()
         )
     }
 
-    /// How much longer the agent's state may be relied on. The agent must have
-    /// held `revision`; one that it does not hold makes it isolated.
+    /// Returns for how long the agent's state is valid, in milliseconds, or 0 if the agent is
+    /// isolated or cannot tell yet. `revision` must be one that the agent has had; otherwise it
+    /// would respond as isolated.
     async fn valid_ms(&self, revision: u64) -> Result<f64> {
-        let hello = FeedRequest {
+        let request = FeedRequest {
             revision,
             resume: None,
         };
         match self
             .link
-            .call(Body::FeedRequest(hello), Duration::from_secs(5))
+            .call(Body::FeedRequest(request), Duration::from_secs(5))
             .await?
         {
             Body::Feed(feed) => Ok(feed.valid_ms.unwrap_or(0).into()),
-            _ => bail!("wrong answer to a hello"),
+            _ => bail!("unexpected response to a feed request"),
         }
     }
 
+    /// Returns the traffic counters of the agent's links.
     async fn traffic(&self) -> Result<LinkTraffic> {
         let request = Body::StatusRequest(StatusRequest {});
         match self.link.call(request, Duration::from_secs(5)).await? {
-            Body::StatusReply(reply) => reply.traffic.context("no traffic in the status"),
-            _ => bail!("wrong answer to a status request"),
+            Body::StatusReply(reply) => reply
+                .traffic
+                .context("the status response has no traffic counts"),
+            _ => bail!("unexpected response to a status request"),
         }
     }
 }
@@ -623,11 +666,16 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let input = child.stdin.take();
-        let mut output = BufReader::new(child.stdout.take().context("no output")?);
+        let mut output = BufReader::new(
+            child
+                .stdout
+                .take()
+                .context("the store process has no standard output")?,
+        );
         let mut line = String::new();
         output.read_line(&mut line)?;
         if line.trim() != "ready" {
-            bail!("the store did not start");
+            bail!("the store process did not start");
         }
         Ok(Self {
             child,
@@ -636,8 +684,13 @@
         })
     }
 
+    /// Sends a command to the process. Returns the numbers of reads, writes and watches so far, and
+    /// of watches that wait.
     fn counts(&mut self, command: &str) -> Result<[f64; 4]> {
-        let input = self.input.as_mut().context("no input")?;
+        let input = self
+            .input
+            .as_mut()
+            .context("the store process has no standard input")?;
         writeln!(input, "{command}")?;
         let mut line = String::new();
         self.output.read_line(&mut line)?;
@@ -645,7 +698,9 @@
             .split_whitespace()
             .map(str::parse)
             .collect::<Result<_, _>>()?;
-        numbers.try_into().map_err(|_| anyhow!("bad counts"))
+        numbers
+            .try_into()
+            .map_err(|_| anyhow!("the store process printed malformed counts"))
     }
 }
 
@@ -657,14 +712,19 @@
     }
 }
 
+/// Counters at one time.
 struct Sample {
     at: Instant,
+    /// By agent.
     traffic: Vec<LinkTraffic>,
+    /// Processor seconds, by agent.
     cpu: Vec<f64>,
+    /// See [`StoreProcess::counts`].
     counts: [f64; 4],
 }
 
 impl Sample {
+    /// Returns the rates since an earlier sample.
     fn since(&self, before: &Self, agents: usize) -> Value {
         let seconds = self.at.duration_since(before.at).as_secs_f64();
         let per_agent = |field: fn(&LinkTraffic) -> u64| -> Vec<f64> {
@@ -688,13 +748,13 @@
             "seconds": seconds,
             "agents": agents,
             "bytes_in_per_s": mean(&bytes_in),
-            "bytes_in_per_s_max": highest(&bytes_in),
+            "bytes_in_per_s_max": maximum(&bytes_in),
             "bytes_out_per_s": mean(&bytes_out),
-            "bytes_out_per_s_max": highest(&bytes_out),
+            "bytes_out_per_s_max": maximum(&bytes_out),
             "frames_in_per_s": mean(&frames_in),
             "frames_out_per_s": mean(&frames_out),
             "cpu_percent": mean(&cpu),
-            "cpu_percent_max": highest(&cpu),
+            "cpu_percent_max": maximum(&cpu),
             "store_reads_per_s": calls(0),
             "store_writes_per_s": calls(1),
             "store_watches_per_s": calls(2),
@@ -703,8 +763,8 @@
     }
 }
 
-/// Figures whose growth with the number of agents is of interest.
-const SLOPES: [&str; 13] = [
+/// JSON pointers of the figures whose growth with the number of agents is reported.
+const SLOPE_FIGURES: [&str; 13] = [
     "/rest/bytes_in_per_s",
     "/rest/bytes_out_per_s",
     "/rest/frames_in_per_s",
@@ -720,8 +780,8 @@
     "/memory/open_files",
 ];
 
-/// For each figure: slope and intercept by least squares in each run, and the
-/// slopes between neighbouring numbers of agents over all runs.
+/// Computes for each figure the slope and intercept by least squares in each run, and the slopes
+/// between the means over all runs at adjacent numbers of agents.
 fn slopes(results: &[Value]) -> Value {
     let mut by_run: BTreeMap<u64, Vec<&Value>> = BTreeMap::new();
     for result in results {
@@ -729,7 +789,7 @@
         by_run.entry(run).or_default().push(result);
     }
     let mut all = serde_json::Map::new();
-    for path in SLOPES {
+    for path in SLOPE_FIGURES {
         let point = |result: &&Value| {
             let agents = result["agents"].as_f64()?;
             Some((agents, result.pointer(path)?.as_f64()?))
@@ -746,7 +806,7 @@
             .into_iter()
             .map(|(agents, values)| (agents as f64, mean(&values)))
             .collect();
-        let pieces: Vec<Value> = means
+        let segments: Vec<Value> = means
             .windows(2)
             .map(|pair| {
                 let [(x, a), (y, b)] = [pair[0], pair[1]];
@@ -759,56 +819,73 @@
                 "slope_per_agent": fits.iter().map(|fit| fit.0).collect::<Vec<_>>(),
                 "intercept": fits.iter().map(|fit| fit.1).collect::<Vec<_>>(),
                 "means": means,
-                "pieces": pieces,
+                "pieces": segments,
             }),
         );
     }
     Value::Object(all)
 }
 
-/// Slope and intercept by least squares.
+/// Returns slope and intercept of a line fitted by least squares.
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
     let x = mean(&points.iter().map(|p| p.0).collect::<Vec<_>>());
     let y = mean(&points.iter().map(|p| p.1).collect::<Vec<_>>());
-    let spread: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    if spread == 0.0 {
+    let x_deviation: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
+    if x_deviation == 0.0 {
         return (0.0, y);
     }
-    let joint: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    (joint / spread, y - joint / spread * x)
+    let xy_deviation: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+    (
+        xy_deviation / x_deviation,
+        y - xy_deviation / x_deviation * x,
+    )
 }
 
-fn milliseconds(times: &[Duration]) -> Value {
+/// Returns count, mean and maximum of latencies, in milliseconds.
+fn latency_summary_ms(times: &[Duration]) -> Value {
     let times: Vec<f64> = times.iter().map(|t| t.as_secs_f64() * 1_000.0).collect();
-    json!({ "changes": times.len(), "mean": mean(&times), "max": highest(&times) })
+    json!({ "changes": times.len(), "mean": mean(&times), "max": maximum(&times) })
 }
 
 fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-fn highest(values: &[f64]) -> f64 {
+fn maximum(values: &[f64]) -> f64 {
     values.iter().copied().fold(0.0, f64::max)
 }
 
+/// Returns the user and system time that a process has used so far.
 fn cpu_seconds(pid: u32) -> Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The command name is in parentheses and may hold spaces.
-    let (_, rest) = stat.rsplit_once(')').context("malformed stat")?;
+    // The command name is in parentheses and may contain spaces.
+    let (_, rest) = stat
+        .rsplit_once(')')
+        .context("/proc/<pid>/stat has no command name")?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
-    let user: f64 = fields.get(11).context("no utime")?.parse()?;
-    let system: f64 = fields.get(12).context("no stime")?.parse()?;
-    Ok((user + system) / TICKS)
+    let user: f64 = fields
+        .get(11)
+        .context("/proc/<pid>/stat has no utime")?
+        .parse()?;
+    let system: f64 = fields
+        .get(12)
+        .context("/proc/<pid>/stat has no stime")?
+        .parse()?;
+    Ok((user + system) / TICKS_PER_S)
 }
 
+/// Returns a field of `/proc/<pid>/status` or `/proc/meminfo` in kB.
 fn field_kb(status: &str, name: &str) -> Result<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     let number = line.and_then(|line| line.split_whitespace().next());
-    Ok(number.with_context(|| format!("no {name}"))?.parse()?)
+    Ok(number
+        .with_context(|| format!("the file has no field {name}"))?
+        .parse()?)
 }
 
+/// Returns the load average over the last minute.
 fn load_average() -> Result<f64> {
     let text = std::fs::read_to_string("/proc/loadavg")?;
     let first = text.split_whitespace().next();
-    Ok(first.context("empty load average")?.parse()?)
+    Ok(first.context("/proc/loadavg is empty")?.parse()?)
 }
--- a/crates/filbertgrade/examples/lookups.rs
+++ b/crates/filbertgrade/examples/lookups.rs
@@ -1,6 +1,9 @@
-//! Measures look-ups per second on one core: client address to the JSON text.
+//! Measures look-ups per second on one core, from a client address to the chosen VMs and to the
+//! encoded JSON response.
 //!
 //! `cargo run --release -p filbertgrade --example lookups [blocks]`
+//!
+//! `blocks` is the number of configured client blocks, 20,000 by default.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -12,6 +15,7 @@
 use filbertgrade::version::{CONFIG_ROOT, ConfigRoot, InForce};
 use filbertgrade_coord::versioned::{Entry, Snapshot, VersionedMap};
 
+/// Number of look-ups in one timed pass.
 const LOOKUPS: u32 = 1_000_000;
 
 fn main() {
@@ -45,6 +49,8 @@
     }
 }
 
+/// Builds a configuration in force with three regions, nine VMs, one service and `blocks` client
+/// blocks of /24.
 fn view(blocks: u32) -> InForce {
     let mut text = "deployment = \"bench\"\nlookup.ttl_ms = 1000\nshift.cap = 0.1\n\
         network = { store_region = \"r0\", domain_latency_ms = 0.5, region_latency_ms = 20, \
@@ -60,12 +66,13 @@
             text,
             "services.chart.endpoints.d{r} = [\"127.200.9.{r}:9000\"]"
         );
-        let nets = (0..blocks).filter(|n| n % 3 == r);
-        let nets = nets.map(|n| format!("\"{}/24\"", Ipv4Addr::from_bits(0x0a00_0000 | n << 8)));
+        let region_blocks = (0..blocks).filter(|n| n % 3 == r);
+        let region_blocks =
+            region_blocks.map(|n| format!("\"{}/24\"", Ipv4Addr::from_bits(0x0a00_0000 | n << 8)));
         let _ = writeln!(
             text,
             "client_blocks.r{r} = [{}]",
-            nets.collect::<Vec<_>>().join(",")
+            region_blocks.collect::<Vec<_>>().join(",")
         );
         for vm in 0..3 {
             let record = format!(
--- a/crates/filbertgrade/examples/lookups_at_scale.rs
+++ b/crates/filbertgrade/examples/lookups_at_scale.rs
@@ -1,5 +1,5 @@
-//! Measures what a look-up costs one entry as the VM list and the client
-//! blocks grow, and prints one JSON object.
+//! Measures the cost of a look-up in one entry for growing numbers of VMs and
+//! client blocks, and prints one JSON object.
 //!
 //! ```text
 //! cargo build --release
@@ -7,11 +7,12 @@
 //!     [--vms 10,100,1000,3500] [--blocks 20,770,5000] [--seconds N] [--runs N]
 //! ```
 //!
-//! One entry and its agent run as processes of the product's binary; the
-//! platform stand-in and the callers run in this process. Callers keep
-//! [`CALLERS`] connections with one request at a time on each. The cost is the
-//! entry's processor time divided by the look-ups, which depends less on
-//! other load of the machine than their rate does.
+//! One entry and its agent run as processes of the `filbertgrade` binary; the
+//! platform stand-in and the callers run in this process. There are
+//! [`CALLERS`] callers, each with one connection and one request at a time.
+//! The cost is the entry's processor time divided by the number of look-ups,
+//! because that depends less on other load of the machine than the number of
+//! look-ups per second.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -28,21 +29,24 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Failure domains and regions of the target.
+/// Failure domains of the target deployment.
 const DOMAINS: usize = 72;
+/// Regions of the target deployment.
 const REGIONS: usize = 20;
 
+/// Number of concurrent callers.
 const CALLERS: usize = 16;
 
-/// Longest time for the entry to have the configuration in force.
+/// Maximum time until the entry has the configuration in force.
 const START_LIMIT: Duration = Duration::from_secs(20);
 
-/// Clock ticks per second in `/proc/<pid>/stat`, fixed on Linux.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second, the unit of processor times in `/proc/<pid>/stat`. Fixed on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
-/// Most bytes of one part of the configuration.
-const PART_BYTES: usize = 512 * 1024;
+/// Maximum length of one part of the configuration.
+const MAX_PART_BYTES: usize = 512 * 1024;
 
+/// A child process that is killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -60,10 +64,12 @@
     let mut runs = 3;
     let mut args = std::env::args().skip(1);
     while let Some(flag) = args.next() {
-        let value = args.next().ok_or_else(|| anyhow!("{flag} has no value"))?;
+        let value = args
+            .next()
+            .ok_or_else(|| anyhow!("{flag} requires a value"))?;
         match flag.as_str() {
-            "--vms" => vms = numbers(&value)?,
-            "--blocks" => blocks = numbers(&value)?,
+            "--vms" => vms = parse_numbers(&value)?,
+            "--blocks" => blocks = parse_numbers(&value)?,
             "--seconds" => seconds = value.parse()?,
             "--runs" => runs = value.parse()?,
             _ => bail!("unknown flag {flag}"),
@@ -82,10 +88,11 @@
     Ok(())
 }
 
-fn numbers(text: &str) -> Result<Vec<usize>> {
+fn parse_numbers(text: &str) -> Result<Vec<usize>> {
     Ok(text.split(',').map(str::parse).collect::<Result<_, _>>()?)
 }
 
+/// Measures one combination of the number of listed VMs and of client blocks.
 async fn measure(run: u64, vms: usize, blocks: usize, seconds: u64) -> Result<Value> {
     let address = Ipv4Addr::new(127, 61, 0, 1);
     let platform = PlatformServer::bind(SocketAddr::new(Ipv4Addr::new(127, 61, 250, 1).into(), 0));
@@ -94,7 +101,7 @@
         let domain = n % DOMAINS;
         platform.put_vm(&VmEntry {
             name: format!("vm-{n:04}"),
-            // Only the first VM runs; the others get no request.
+            // Only the first VM has running processes; the others receive no requests.
             address: Ipv4Addr::new(127, 61, u8::try_from(n / 250)?, u8::try_from(n % 250 + 1)?)
                 .to_string(),
             region: format!("region-{:02}", domain % REGIONS),
@@ -103,7 +110,7 @@
         });
     }
     put_config(&platform, &config(blocks));
-    let binary = beside_examples()?;
+    let binary = filbertgrade_binary()?;
     let start = |role: &str| -> Result<Process> {
         let child = Command::new(&binary)
             .arg(role)
@@ -120,20 +127,21 @@
     let _agent = start("agent")?;
     let entry = start("entry")?;
     let target = SocketAddr::new(address.into(), 7080);
-    wait_for_answers(target).await?;
+    wait_until_in_force(target).await?;
 
     let before = cpu_seconds(entry.0.id())?;
-    let began = Instant::now();
-    let callers = (0..CALLERS).map(|n| tokio::spawn(call(target, n, blocks, seconds)));
+    let started = Instant::now();
+    let callers = (0..CALLERS).map(|n| tokio::spawn(run_caller(target, n, blocks, seconds)));
     let mut latencies = Vec::new();
     for caller in callers.collect::<Vec<_>>() {
         latencies.extend(caller.await??);
     }
-    let elapsed = began.elapsed().as_secs_f64();
+    let elapsed = started.elapsed().as_secs_f64();
     let cpu = cpu_seconds(entry.0.id())? - before;
     latencies.sort_unstable();
     let lookups = latencies.len();
-    let at = |part: usize| latencies[(lookups - 1) * part / 1_000].as_secs_f64() * 1e6;
+    let quantile_us =
+        |per_mille: usize| latencies[(lookups - 1) * per_mille / 1_000].as_secs_f64() * 1e6;
     let result = json!({
         "run": run,
         "vms": vms,
@@ -142,14 +150,19 @@
         "per_second": lookups as f64 / elapsed,
         "cpu_us_per_lookup": cpu / lookups as f64 * 1e6,
         "per_second_per_core": lookups as f64 / cpu,
-        "latency_us": { "p50": at(500), "p99": at(990), "p999": at(999) },
+        "latency_us": {
+            "p50": quantile_us(500),
+            "p99": quantile_us(990),
+            "p999": quantile_us(999),
+        },
         "load": std::fs::read_to_string("/proc/loadavg")?.split(' ').next(),
     });
     eprintln!("{result}");
     Ok(result)
 }
 
-/// One service in all regions, and `blocks` client blocks spread over them.
+/// Returns a configuration with one service in all regions, and `blocks` client blocks distributed
+/// over them.
 fn config(blocks: usize) -> String {
     let mut text = String::from(
         "deployment = \"scale\"\n[lookup]\nttl_ms = 5000\n[shift]\ncap = 0.5\n[network]\n\
@@ -179,19 +192,20 @@
     }
     text += "[teams.atelier]\nrate = 1000\nburst = 1000\n[client_blocks]\n";
     for region in 0..REGIONS {
-        let of_region = (0..blocks).filter(|block| block % REGIONS == region);
-        let of_region = of_region.map(|n| format!("\"10.{}.{}.0/24\"", n / 256, n % 256));
+        let region_blocks = (0..blocks).filter(|block| block % REGIONS == region);
+        let region_blocks = region_blocks.map(|n| format!("\"10.{}.{}.0/24\"", n / 256, n % 256));
         text += &format!(
             "region-{region:02} = [{}]\n",
-            of_region.collect::<Vec<_>>().join(",")
+            region_blocks.collect::<Vec<_>>().join(",")
         );
     }
     text
 }
 
+/// Stores a configuration as parts of at most [`MAX_PART_BYTES`] and the root that lists them.
 fn put_config(platform: &PlatformServer, text: &str) {
     let mut parts = Vec::new();
-    for part in text.as_bytes().chunks(PART_BYTES) {
+    for part in text.as_bytes().chunks(MAX_PART_BYTES) {
         let digest: String = Sha256::digest(part)
             .iter()
             .map(|b| format!("{b:02x}"))
@@ -206,9 +220,10 @@
     platform.put("config/root", root.to_string());
 }
 
-async fn wait_for_answers(target: SocketAddr) -> Result<()> {
-    let began = Instant::now();
-    while began.elapsed() < START_LIMIT {
+/// Waits until look-ups return VMs of the configuration.
+async fn wait_until_in_force(target: SocketAddr) -> Result<()> {
+    let started = Instant::now();
+    while started.elapsed() < START_LIMIT {
         if let Ok(mut sender) = connect(target).await
             && let Ok(body) = look_up(&mut sender, "10.0.0.1").await
             && body.windows(9).any(|part| part == b"region-00")
@@ -220,20 +235,27 @@
     bail!("the entry has no configuration in force")
 }
 
-async fn call(target: SocketAddr, n: usize, blocks: usize, seconds: u64) -> Result<Vec<Duration>> {
+/// Sends look-ups one after another for `seconds` and returns their latencies. `n` is the index of
+/// the caller.
+async fn run_caller(
+    target: SocketAddr,
+    n: usize,
+    blocks: usize,
+    seconds: u64,
+) -> Result<Vec<Duration>> {
     let mut sender = connect(target).await?;
     let until = Instant::now() + Duration::from_secs(seconds);
     let mut latencies = Vec::new();
-    for turn in 0.. {
-        let began = Instant::now();
-        if began >= until {
+    for round in 0.. {
+        let started = Instant::now();
+        if started >= until {
             break;
         }
-        // Steps through the blocks in an order without locality.
-        let block = (n * 7_919 + turn * 104_729) % blocks;
-        let client = format!("10.{}.{}.{}", block / 256, block % 256, turn % 250 + 1);
+        // Visits the blocks in an order without locality.
+        let block = (n * 7_919 + round * 104_729) % blocks;
+        let client = format!("10.{}.{}.{}", block / 256, block % 256, round % 250 + 1);
         look_up(&mut sender, &client).await?;
-        latencies.push(began.elapsed());
+        latencies.push(started.elapsed());
     }
     Ok(latencies)
 }
@@ -246,30 +268,43 @@
     Ok(sender)
 }
 
+/// Sends one look-up and returns the body of the response.
 async fn look_up(sender: &mut SendRequest<Empty<Bytes>>, client: &str) -> Result<Bytes> {
     let req = Request::get(format!("/v1/lookup?client={client}"))
         .header("host", "scale")
         .body(Empty::new())?;
     sender.ready().await?;
-    let answer = sender.send_request(req).await?;
-    if !answer.status().is_success() {
-        bail!("status {}", answer.status());
+    let response = sender.send_request(req).await?;
+    if !response.status().is_success() {
+        bail!("look-up failed with status {}", response.status());
     }
-    Ok(answer.into_body().collect().await?.to_bytes())
+    Ok(response.into_body().collect().await?.to_bytes())
 }
 
-fn beside_examples() -> Result<PathBuf> {
+/// Returns the path of the `filbertgrade` binary in the target directory that holds this example.
+fn filbertgrade_binary() -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let release = own.parent().and_then(Path::parent);
-    Ok(release.context("no directory")?.join("filbertgrade"))
+    Ok(release
+        .context("the example is not in a target directory")?
+        .join("filbertgrade"))
 }
 
+/// Returns the user and system time that a process has used so far.
 fn cpu_seconds(pid: u32) -> Result<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The command name is in parentheses and may hold spaces.
-    let (_, rest) = stat.rsplit_once(')').context("malformed stat")?;
+    // The command name is in parentheses and may contain spaces.
+    let (_, rest) = stat
+        .rsplit_once(')')
+        .context("/proc/<pid>/stat has no command name")?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
-    let user: f64 = fields.get(11).context("no utime")?.parse()?;
-    let system: f64 = fields.get(12).context("no stime")?.parse()?;
-    Ok((user + system) / TICKS)
+    let user: f64 = fields
+        .get(11)
+        .context("/proc/<pid>/stat has no utime")?
+        .parse()?;
+    let system: f64 = fields
+        .get(12)
+        .context("/proc/<pid>/stat has no stime")?
+        .parse()?;
+    Ok((user + system) / TICKS_PER_S)
 }
