--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -279,15 +279,11 @@
         let Limiter::Ledger(ledger) = &mut state.limiter else {
             return;
         };
-        let mut messages = Vec::new();
+        let mut out = Vec::new();
         for action in ledger.due_loan_actions(now) {
             match action {
-                LoanAction::Renew(r) => {
-                    messages.push((vm_index(&r.loan.lender), Message::Renew(r)))
-                }
-                LoanAction::Return(r) => {
-                    messages.push((vm_index(&r.loan.lender), Message::Return(r)))
-                }
+                LoanAction::Renew(r) => out.push((vm_index(&r.loan.lender), Message::Renew(r))),
+                LoanAction::Return(r) => out.push((vm_index(&r.loan.lender), Message::Return(r))),
             }
         }
         if let Some(total) = ledger.request_loan(now) {
@@ -301,11 +297,11 @@
                     share,
                     tokens: (total.tokens * fraction).ceil().min(share.burst()),
                 };
-                messages.push((peer, Message::LoanRequest(request)));
+                out.push((peer, Message::LoanRequest(request)));
             }
             state.loan_requests += 1;
         }
-        for (to, message) in messages {
+        for (to, message) in out {
             self.send(now, vm, to, team, message);
         }
     }
