--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -1,21 +1,22 @@
 //! Stand-in for a backend server.
 //!
 //! The server speaks HTTP/1.1 and HTTP/2 without TLS and serves any path `/<service>/...`. It
-//! reads the whole request body and answers 200 with the body of [`expected_answer`]. Query
-//! parameters of the request change the answer:
+//! reads the complete request body and responds with 200 and the body of [`expected_answer`].
+//! Query parameters of the request change the response:
 //!
-//! - `bytes=N`: size of the answer in bytes, default 64;
+//! - `bytes=N`: size of the response body in bytes, default 64;
 //! - `service_ms=N`: service time of this request in milliseconds;
-//! - `pace_ms=N`: pause before each 16 KiB part of the answer, in milliseconds;
-//! - `chunked=1`: sends the answer without a `content-length`.
+//! - `pace_ms=N`: delay before each 16 KiB part of the response body, in milliseconds;
+//! - `chunked=1`: sends the response without a `content-length`.
 //!
-//! A request that arrives while all slots are busy gets 503 with `x-shed: 1`. A server that is
-//! told to drain answers new work with 503 and `x-drain: 1`. A request whose `x-deadline-ms`
-//! (remaining time in milliseconds) passes gets 504 with `x-deadline: 1`. Requests with the first
-//! two answers did not run. Each answer carries `x-load`, the busy fraction of the slots.
+//! A request that arrives while all slots are busy receives 503 with `x-shed: 1`. While the server
+//! drains, requests receive 503 with `x-drain: 1`. Requests with these two responses did not run.
+//! A request whose deadline expires receives 504 with `x-deadline: 1`; the deadline is the remaining
+//! time in milliseconds in `x-deadline-ms`. Each response has a header `x-load`, the busy fraction
+//! of the slots.
 //!
-//! `GET /load` answers `{"load":F,"busy":N,"slots":N}`. `GET /health` answers 200, or 503 while
-//! draining. Neither takes a slot.
+//! `GET /load` returns `{"load":F,"busy":N,"slots":N}`. `GET /health` returns 200, or 503 while
+//! the server drains. Neither occupies a slot.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::convert::Infallible;
@@ -43,38 +44,39 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Sleep;
 
-use crate::answer::Answer;
-pub use crate::answer::{DEFAULT_ANSWER_BYTES, expected_answer};
 use crate::common::{lock, query_value, sleep_until};
+use crate::response::ResponseBytes;
+pub use crate::response::{DEFAULT_RESPONSE_BYTES, expected_answer};
 
-/// Size in bytes of each part of a streamed answer.
-const FRAME_BYTES: usize = 16 * 1024;
+/// Largest size in bytes of each data frame of a response body.
+const MAX_FRAME_BYTES: usize = 16 * 1024;
 
-/// Pause before a cut, so that the bytes before it reach the caller.
-const CUT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before a response is cut, so that the bytes before the cut reach the caller.
+const DELAY_BEFORE_CUT: Duration = Duration::from_millis(10);
 
-/// Age up to which load samples are kept. It bounds the load lag that can be simulated.
+/// Age up to which load samples are kept, and so the largest load lag that can be simulated.
 const LOAD_HISTORY: Duration = Duration::from_secs(60);
 
-/// Prefix of every key of the system under test.
-const KEY_PREFIX: &[u8] = b"fgk_";
+/// Prefix of every API key that the system under test issues.
+const API_KEY_PREFIX: &[u8] = b"fgk_";
 
 /// Settings of a [`BackendServer`].
 #[derive(Clone, Debug)]
 pub struct BackendConfig {
-    /// Name, sent as `x-backend` in each answer. Default `backend`.
+    /// Name of the server, sent as `x-backend` in each response. Default `backend`.
     pub name: String,
-    /// Number of requests that run at once. With 0, every request is shed. Default 4.
+    /// Largest number of requests that run at once. With 0, every request is shed. Default 4.
     pub slots: usize,
-    /// Number of open connections. Connections over the limit are closed at once. Default 360.
+    /// Largest number of open connections. Connections over the limit are closed as soon as they
+    /// are accepted. Default 360.
     pub connection_limit: usize,
-    /// Service time of each request. Default uniform from 2 ms to 8 ms.
+    /// Distribution of the service time of a request. Default uniform from 2 ms to 8 ms.
     pub service_time: ServiceTime,
-    /// Number of requests after the start that are slower by `cold_factor`. Default 0.
+    /// Number of requests after the start that take longer by `cold_factor`. Default 0.
     pub cold_requests: u64,
-    /// Factor on the service time of cold requests. Default 4.
+    /// Factor by which the service time of cold requests is multiplied. Default 4.
     pub cold_factor: f64,
-    /// Seed of the service times. Default 1.
+    /// Seed of the random service times. Default 1.
     pub seed: u64,
 }
 
@@ -98,16 +100,16 @@
 /// Distribution of service times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceTime {
-    /// Always the same time.
+    /// The same time for every request.
     Fixed(Duration),
-    /// Evenly spread from `min` to `max`.
+    /// Uniformly distributed from `min` to `max`.
     Uniform {
         /// Shortest time.
         min: Duration,
         /// Longest time.
         max: Duration,
     },
-    /// Exponential with mean `mean`, truncated at `max`.
+    /// Exponentially distributed with mean `mean`; longer times are replaced by `max`.
     Exponential {
         /// Mean before truncation.
         mean: Duration,
@@ -127,12 +129,12 @@
     }
 }
 
-/// One run of a request.
+/// One execution of a request by a backend server.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Value of `x-request-id`, or the empty string.
+    /// Value of `x-request-id`, or the empty string if the header is absent.
     pub request_id: String,
-    /// Value of `x-team`, which the system under test adds.
+    /// Value of `x-team`, which the system under test adds. `None` if the header is absent.
     pub team: Option<String>,
     /// HTTP method.
     pub method: Method,
@@ -142,35 +144,37 @@
     pub body_bytes: u64,
     /// Time when the request's headers arrived.
     pub arrived: Instant,
-    /// Time when the body was read and the work began.
+    /// Time when the body had been read and the service time started.
     pub started: Instant,
 }
 
 /// What a backend server observed.
 #[derive(Clone, Debug, Default)]
 pub struct BackendRecords {
-    /// Every run in order of its start. A swallowed or cancelled request also ran.
+    /// Every run in order of its start, including runs whose response was withheld or whose caller
+    /// cancelled.
     pub runs: Vec<Run>,
     /// Largest number of slots busy at once.
     pub peak_concurrency: usize,
-    /// Requests that arrived while all slots were busy. They were shed.
+    /// Requests that arrived while all slots were busy and were shed.
     pub over_slots: u64,
     /// Largest number of connections open at once.
     pub peak_connections: usize,
-    /// Connections over the limit. They were closed.
+    /// Connections that were closed because the connection limit was reached.
     pub connections_over_limit: u64,
-    /// Requests with an `authorization` header, or with a key in a header value or the path.
+    /// Requests with an `authorization` header, or with an API key in a header value, the path or
+    /// the query.
     pub key_seen: u64,
-    /// Requests that the caller abandoned before the whole answer was sent.
+    /// Requests that the caller cancelled before the complete response was sent.
     pub cancelled: u64,
-    /// Requests that were answered 504 because their deadline passed.
+    /// Requests that received 504 because their deadline expired.
     pub deadline_exceeded: u64,
-    /// Time of each request that arrived while draining, counted from the start of the drain.
+    /// AdmissionDecision time of each request during a drain, relative to the start of the drain.
     pub arrived_while_draining: Vec<Duration>,
 }
 
 impl BackendRecords {
-    /// Returns how often each request id ran.
+    /// Returns the number of runs of each request id.
     #[must_use]
     pub fn runs_by_id(&self) -> BTreeMap<&str, u64> {
         let mut counts = BTreeMap::new();
@@ -180,7 +184,7 @@
         counts
     }
 
-    /// Returns how often a request ran.
+    /// Returns the number of runs of a request.
     #[must_use]
     pub fn ran(&self, request_id: &str) -> u64 {
         self.runs
@@ -197,7 +201,7 @@
     shared: Arc<Shared>,
     /// Connections end when this sender is dropped.
     _stop: watch::Sender<()>,
-    accept: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl BackendServer {
@@ -211,7 +215,7 @@
         let addr = listener.local_addr()?;
         let state = State {
             rng: StdRng::seed_from_u64(cfg.seed),
-            cold_left: cfg.cold_requests,
+            remaining_cold: cfg.cold_requests,
             ..State::default()
         };
         let shared = Arc::new(Shared {
@@ -219,48 +223,48 @@
             state: Mutex::new(state),
         });
         let (stop, stopped) = watch::channel(());
-        let accept = tokio::spawn(accept_loop(listener, Arc::clone(&shared), stopped));
+        let accept_task = tokio::spawn(accept_loop(listener, Arc::clone(&shared), stopped));
         Ok(BackendServer {
             addr,
             shared,
             _stop: stop,
-            accept,
+            accept_task,
         })
     }
 
-    /// Returns the address that the server listens on.
+    /// Returns the address on which the server listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Returns the name from the settings.
+    /// Returns the configured name.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.shared.cfg.name
     }
 
-    /// Closes the listener and every connection, and returns when the address is free again.
-    /// Returns the records up to that time.
+    /// Closes the listener and every connection, waits until the address can be bound again, and
+    /// returns the records up to that time.
     pub async fn close(mut self) -> BackendRecords {
-        self.accept.abort();
-        let _ = (&mut self.accept).await;
+        self.accept_task.abort();
+        let _ = (&mut self.accept_task).await;
         self.records()
     }
 
-    /// Returns what the server observed so far.
+    /// Returns a copy of the records so far.
     #[must_use]
     pub fn records(&self) -> BackendRecords {
         self.shared.state().records.clone()
     }
 
-    /// Returns what the server observed since the start or the last call of this function.
+    /// Returns the records since the start or the last call of this function, and clears them.
     #[must_use]
     pub fn take_records(&self) -> BackendRecords {
         std::mem::take(&mut self.shared.state().records)
     }
 
-    /// Returns how often a request ran.
+    /// Returns the number of runs of a request so far.
     #[must_use]
     pub fn ran(&self, request_id: &str) -> u64 {
         self.shared.state().records.ran(request_id)
@@ -272,75 +276,77 @@
         self.shared.state().busy
     }
 
-    /// Returns the number of connections that are open now, including silent ones.
+    /// Returns the number of open connections, including frozen ones.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.shared.state().connections.len()
     }
 
-    /// Makes every connection that is open now silent until the caller closes it: requests and
-    /// answers on it are dropped. New connections work.
+    /// Freezes every connection that is open now until the caller closes it: requests and responses
+    /// on it are dropped. Connections opened later are not affected.
     pub fn silence_open_connections(&self) {
         for connection in &self.shared.state().connections {
-            connection.silent.send_replace(true);
+            connection.frozen.send_replace(true);
         }
     }
 
-    /// Cuts the next `answers` answers after `bytes` bytes of their body. Answers that are not
-    /// longer than this stay whole and count as well.
-    pub fn cut_next_answers(&self, answers: u64, bytes: usize) {
+    /// Cuts the next `responses` responses after `bytes` bytes of their body. Responses that are not
+    /// longer than this are sent complete, but also count towards `responses`.
+    pub fn cut_next_answers(&self, responses: u64, bytes: usize) {
         let mut state = self.shared.state();
-        state.cut_answers = answers;
-        state.cut_after = bytes;
+        state.remaining_cuts = responses;
+        state.cut_after_bytes = bytes;
     }
 
-    /// Delays every answer by `delay`, with the slot held.
-    pub fn set_answer_delay(&self, delay: Duration) {
-        self.shared.state().answer_delay = delay;
+    /// Delays every response by `delay`. The slot stays busy during the delay.
+    pub fn set_response_delay(&self, delay: Duration) {
+        self.shared.state().response_delay = delay;
     }
 
-    /// Reads and runs the next `requests` requests and never answers them. Their slots become free
-    /// and their connections stay open.
+    /// Runs the next `requests` requests and never sends their responses. Their slots are freed and
+    /// their connections stay open.
     pub fn swallow_next(&self, requests: u64) {
-        self.shared.state().swallow = requests;
+        self.shared.state().remaining_withheld = requests;
     }
 
-    /// Closes the connection of each of the next `requests` requests before its body is read.
-    /// These requests do not run.
+    /// Closes the connection of each of the next `requests` requests before the request body is
+    /// read. These requests do not run.
     pub fn close_next_unread(&self, requests: u64) {
-        self.shared.state().close_unread = requests;
+        self.shared.state().remaining_closed_unread = requests;
     }
 
-    /// Starts or ends draining: new work is answered 503 with `x-drain: 1`.
+    /// Starts or ends draining. While draining, new requests receive 503 with `x-drain: 1`.
     pub fn set_draining(&self, draining: bool) {
         self.shared.state().draining_since = draining.then(Instant::now);
     }
 
-    /// Makes `GET /health` report healthy (`Some(true)`) or failing (`Some(false)`) whatever the
-    /// truth is. `None` ends the lie.
+    /// Makes `GET /health` report healthy (`Some(true)`) or failing (`Some(false)`) regardless of the
+    /// actual state. `None` restores the actual state.
     pub fn set_health_lie(&self, healthy: Option<bool>) {
-        self.shared.state().health_lie = healthy;
+        self.shared.state().health_override = healthy;
     }
 
-    /// Makes every load report tell this busy fraction. `None` ends the lie.
-    pub fn set_load_lie(&self, load: Option<f64>) {
-        self.shared.state().load_lie = load;
+    /// Makes every load report contain this busy fraction. `None` restores the actual load.
+    pub fn set_load_override(&self, load: Option<f64>) {
+        self.shared.state().load_override = load;
     }
 
-    /// Makes every load report tell the load of `lag` ago, at most 60 s.
+    /// Makes every load report contain the load that was current `lag` ago. `lag` must be at
+    /// most 60 s, the age up to which load samples are kept.
     pub fn set_load_lag(&self, lag: Duration) {
         self.shared.state().load_lag = lag;
     }
 
-    /// Makes the next `requests` requests slower by the cold factor, as after a restart.
+    /// Multiplies the service time of the next `requests` requests by
+    /// [`cold_factor`](BackendConfig::cold_factor), as after a restart.
     pub fn make_cold(&self, requests: u64) {
-        self.shared.state().cold_left = requests;
+        self.shared.state().remaining_cold = requests;
     }
 }
 
 impl Drop for BackendServer {
     fn drop(&mut self) {
-        self.accept.abort();
+        self.accept_task.abort();
     }
 }
 
@@ -354,20 +360,27 @@
 struct State {
     records: BackendRecords,
     rng: StdRng,
+    /// Number of busy slots.
     busy: usize,
-    /// Busy slots after each change, oldest first.
+    /// Time of each change of `busy` and the new value, oldest first.
     load_samples: VecDeque<(Instant, usize)>,
     connections: Vec<Arc<Connection>>,
-    cold_left: u64,
+    /// Requests still to run with the cold service time.
+    remaining_cold: u64,
+    /// `None` while the server does not drain.
     draining_since: Option<Instant>,
-    health_lie: Option<bool>,
-    load_lie: Option<f64>,
+    health_override: Option<bool>,
+    load_override: Option<f64>,
     load_lag: Duration,
-    answer_delay: Duration,
-    cut_answers: u64,
-    cut_after: usize,
-    swallow: u64,
-    close_unread: u64,
+    response_delay: Duration,
+    /// Responses still to be cut.
+    remaining_cuts: u64,
+    /// Length in bytes at which responses are cut.
+    cut_after_bytes: usize,
+    /// Requests still to run without a response.
+    remaining_withheld: u64,
+    /// Requests whose connection is still to be closed before their body is read.
+    remaining_closed_unread: u64,
 }
 
 impl Default for State {
@@ -378,16 +391,16 @@
             busy: 0,
             load_samples: VecDeque::new(),
             connections: Vec::new(),
-            cold_left: 0,
+            remaining_cold: 0,
             draining_since: None,
-            health_lie: None,
-            load_lie: None,
+            health_override: None,
+            load_override: None,
             load_lag: Duration::ZERO,
-            answer_delay: Duration::ZERO,
-            cut_answers: 0,
-            cut_after: 0,
-            swallow: 0,
-            close_unread: 0,
+            response_delay: Duration::ZERO,
+            remaining_cuts: 0,
+            cut_after_bytes: 0,
+            remaining_withheld: 0,
+            remaining_closed_unread: 0,
         }
     }
 }
@@ -398,7 +411,8 @@
         self.records.peak_concurrency = self.records.peak_concurrency.max(busy);
         let now = Instant::now();
         self.load_samples.push_back((now, busy));
-        // The newest sample older than the history still tells the load at its end.
+        // The newest sample older than the history is kept, because it holds the load at the start
+        // of the history.
         while self
             .load_samples
             .get(1)
@@ -408,8 +422,9 @@
         }
     }
 
+    /// Returns the busy fraction of the slots, subject to the load override and the load lag.
     fn reported_load(&self, slots: usize) -> f64 {
-        if let Some(load) = self.load_lie {
+        if let Some(load) = self.load_override {
             return load;
         }
         let now = Instant::now();
@@ -425,8 +440,8 @@
     }
 }
 
-/// Counts down `left` and returns whether it was positive.
-fn take_one(left: &mut u64) -> bool {
+/// Decrements `left` unless it is zero, and returns whether it was positive.
+fn consume_one(left: &mut u64) -> bool {
     let positive = *left > 0;
     *left = left.saturating_sub(1);
     positive
@@ -437,16 +452,19 @@
         lock(&self.state)
     }
 
+    /// Returns the service time of the next request, including the response delay. The query
+    /// parameter `service_ms` replaces the random time.
     fn service_time(&self, query: Option<&str>) -> Duration {
         let mut state = self.state();
         let mut time = self.cfg.service_time.sample(&mut state.rng);
-        if take_one(&mut state.cold_left) {
+        if consume_one(&mut state.remaining_cold) {
             time = time.mul_f64(self.cfg.cold_factor);
         }
-        query_ms(query, "service_ms").unwrap_or(time) + state.answer_delay
+        query_ms(query, "service_ms").unwrap_or(time) + state.response_delay
     }
 }
 
+/// Returns the value of a query parameter in milliseconds, or `None` if it is absent or malformed.
 fn query_ms(query: Option<&str>, name: &str) -> Option<Duration> {
     query_value(query, name)?
         .parse()
@@ -454,65 +472,67 @@
         .map(Duration::from_millis)
 }
 
-/// State of one connection that faults change.
+/// Switches through which injected faults affect one connection.
 #[derive(Debug)]
 struct Connection {
-    silent: watch::Sender<bool>,
-    kill: Notify,
+    frozen: watch::Sender<bool>,
+    close_requested: Notify,
 }
 
 impl Connection {
-    /// Closes the connection. Never returns, because the connection drops the caller's future.
+    /// Closes the connection. Never returns, because closing the connection drops the future that
+    /// calls this.
     async fn close(&self) -> Infallible {
-        self.kill.notify_one();
+        self.close_requested.notify_one();
         std::future::pending().await
     }
 
-    async fn silenced(&self) {
+    /// Waits until the connection is frozen.
+    async fn wait_until_frozen(&self) {
         // The sender lives as long as `self`, so the wait cannot fail.
-        let _ = self.silent.subscribe().wait_for(|silent| *silent).await;
+        let _ = self.frozen.subscribe().wait_for(|frozen| *frozen).await;
     }
 }
 
-/// Stream of a connection that can become silent.
-struct SilenceableIo {
+/// TCP stream that drops all bytes in both directions once it is frozen.
+struct FreezableIo {
     stream: TcpStream,
-    silent: Arc<AtomicBool>,
-    /// Whether the caller closed the connection after it became silent.
-    ended: bool,
+    frozen: Arc<AtomicBool>,
+    /// Whether the caller closed the connection after it was frozen.
+    peer_closed: bool,
 }
 
-impl AsyncRead for SilenceableIo {
+impl AsyncRead for FreezableIo {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.silent.load(Ordering::SeqCst) {
+        if !self.frozen.load(Ordering::SeqCst) {
             return Pin::new(&mut self.stream).poll_read(cx, buf);
         }
         let mut scratch = [0; 4096];
         loop {
-            // The end of the stream is passed on, so that a connection that the caller has given
-            // up does not count against the connection limit.
+            // The end of the stream is reported, so that a connection that the caller has closed
+            // does not count towards the connection limit.
             let mut dropped = ReadBuf::new(&mut scratch);
             ready!(Pin::new(&mut self.stream).poll_read(cx, &mut dropped))?;
             if dropped.filled().is_empty() {
-                self.ended = true;
+                self.peer_closed = true;
                 return Poll::Ready(Ok(()));
             }
         }
     }
 }
 
-impl AsyncWrite for SilenceableIo {
+impl AsyncWrite for FreezableIo {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        // Dropped bytes let running requests end, so that silence does not hold their slots.
-        if self.silent.load(Ordering::SeqCst) {
+        // Pretends that the bytes were written, so that running requests end and free their slots.
+        if self.frozen.load(Ordering::SeqCst) {
             return Poll::Ready(Ok(buf.len()));
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -523,7 +543,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.silent.load(Ordering::SeqCst) && !self.ended {
+        if self.frozen.load(Ordering::SeqCst) && !self.peer_closed {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
@@ -533,14 +553,14 @@
 async fn accept_loop(listener: TcpListener, shared: Arc<Shared>, stopped: watch::Receiver<()>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Accepting fails for a short time when the process is out of file descriptors.
+            // `accept` fails while the process has no free file descriptors; retry after a delay.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let connection = Arc::new(Connection {
-            silent: watch::Sender::new(false),
-            kill: Notify::new(),
+            frozen: watch::Sender::new(false),
+            close_requested: Notify::new(),
         });
         {
             let mut state = shared.state();
@@ -567,27 +587,27 @@
     connection: Arc<Connection>,
     mut stopped: watch::Receiver<()>,
 ) {
-    let silent = Arc::new(AtomicBool::new(false));
-    let io = TokioIo::new(SilenceableIo {
+    let frozen = Arc::new(AtomicBool::new(false));
+    let io = TokioIo::new(FreezableIo {
         stream,
-        silent: Arc::clone(&silent),
-        ended: false,
+        frozen: Arc::clone(&frozen),
+        peer_closed: false,
     });
     let service = service_fn(|req| handle(Arc::clone(&shared), Arc::clone(&connection), req));
     let builder = auto::Builder::new(TokioExecutor::new());
     {
-        let serving = builder.serve_connection(io, service);
-        tokio::pin!(serving);
-        let mut silenced = connection.silent.subscribe();
+        let connection_future = builder.serve_connection(io, service);
+        tokio::pin!(connection_future);
+        let mut frozen_rx = connection.frozen.subscribe();
         loop {
             tokio::select! {
                 biased;
                 _ = stopped.changed() => break,
-                () = connection.kill.notified() => break,
-                _ = silenced.wait_for(|on| *on), if !silent.load(Ordering::SeqCst) => {
-                    silent.store(true, Ordering::SeqCst);
+                () = connection.close_requested.notified() => break,
+                _ = frozen_rx.wait_for(|on| *on), if !frozen.load(Ordering::SeqCst) => {
+                    frozen.store(true, Ordering::SeqCst);
                 }
-                _ = &mut serving => break,
+                _ = &mut connection_future => break,
             }
         }
     }
@@ -601,72 +621,81 @@
     shared: Arc<Shared>,
     connection: Arc<Connection>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let arrived = Instant::now();
-    let mut answer = match (req.method(), req.uri().path()) {
-        (&Method::GET, "/load") => load(&shared),
-        (&Method::GET, "/health") => health(&shared),
-        _ => work(&shared, &connection, req, arrived).await,
+    let mut response = match (req.method(), req.uri().path()) {
+        (&Method::GET, "/load") => load_response(&shared),
+        (&Method::GET, "/health") => health_response(&shared),
+        _ => serve_request(&shared, &connection, req, arrived).await,
     };
     let load = shared.state().reported_load(shared.cfg.slots);
-    let headers = answer.headers_mut();
+    let headers = response.headers_mut();
     headers.insert("x-load", header(&format!("{load:.3}")));
     headers.insert("x-backend", header(&shared.cfg.name));
-    Ok(answer)
+    Ok(response)
 }
 
-fn load(shared: &Shared) -> Response<AnswerBody> {
+fn load_response(shared: &Shared) -> Response<ResponseBody> {
     let slots = shared.cfg.slots;
     let load = shared.state().reported_load(slots);
     let busy = (load * slots as f64).round();
     let body = format!("{{\"load\":{load:.3},\"busy\":{busy},\"slots\":{slots}}}");
-    Response::new(AnswerBody::text(&body))
+    Response::new(ResponseBody::text(&body))
 }
 
-fn health(shared: &Shared) -> Response<AnswerBody> {
+fn health_response(shared: &Shared) -> Response<ResponseBody> {
     let state = shared.state();
-    if state.health_lie.unwrap_or(state.draining_since.is_none()) {
-        Response::new(AnswerBody::text("ok"))
+    if state
+        .health_override
+        .unwrap_or(state.draining_since.is_none())
+    {
+        Response::new(ResponseBody::text("ok"))
     } else {
-        status(StatusCode::SERVICE_UNAVAILABLE, None)
+        status_response(StatusCode::SERVICE_UNAVAILABLE, None)
     }
 }
 
-/// What happens to a request, decided when its headers arrive.
-enum Arrival {
+/// How a request is handled, decided when its headers arrive.
+enum AdmissionDecision {
+    /// Close the connection without reading the request body.
     CloseUnread,
-    Drain,
+    /// Respond with 503 and `x-drain`.
+    RefuseDraining,
+    /// Respond with 503 and `x-shed`.
     Shed,
-    Work(Slot),
+    /// Run the request in this slot.
+    Run(Slot),
 }
 
-async fn work(
+async fn serve_request(
     shared: &Arc<Shared>,
     connection: &Connection,
     req: Request<Incoming>,
     arrived: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (parts, mut body) = req.into_parts();
-    let arrival = arrive(shared, &parts, arrived);
-    if matches!(arrival, Arrival::CloseUnread) {
+    let decision = admit(shared, &parts, arrived);
+    if matches!(decision, AdmissionDecision::CloseUnread) {
         connection.close().await;
     }
-    // Refused requests are read as well, because an answer before the end of the body resets the
-    // connection, and the caller may lose the answer.
+    // The bodies of refused requests are read as well, because a response before the end of the
+    // request body resets the connection, and the caller may lose the response.
     let (body_digest, body_bytes) = tokio::select! {
         read = read_body(&mut body) => match read {
             Some(read) => read,
-            None => return status(StatusCode::BAD_REQUEST, None),
+            None => return status_response(StatusCode::BAD_REQUEST, None),
         },
-        () = connection.silenced() => {
-            drop(arrival);
+        () = connection.wait_until_frozen() => {
+            drop(decision);
             return std::future::pending().await;
         }
     };
-    let mut slot = match arrival {
-        Arrival::Work(slot) => slot,
-        Arrival::Shed => return status(StatusCode::SERVICE_UNAVAILABLE, Some("x-shed")),
-        _ => return status(StatusCode::SERVICE_UNAVAILABLE, Some("x-drain")),
+    let mut slot = match decision {
+        AdmissionDecision::Run(slot) => slot,
+        AdmissionDecision::Shed => {
+            return status_response(StatusCode::SERVICE_UNAVAILABLE, Some("x-shed"));
+        }
+        _ => return status_response(StatusCode::SERVICE_UNAVAILABLE, Some("x-drain")),
     };
     let deadline = header_text(&parts.headers, "x-deadline-ms").parse().ok();
     let deadline = deadline.map(|ms| Duration::from_millis(ms).saturating_sub(arrived.elapsed()));
@@ -674,7 +703,7 @@
         return slot.deadline_exceeded();
     }
     let request_id = header_text(&parts.headers, "x-request-id").to_owned();
-    let swallowed = {
+    let withheld = {
         let mut state = shared.state();
         state.records.runs.push(Run {
             request_id: request_id.clone(),
@@ -688,64 +717,71 @@
             arrived,
             started: Instant::now(),
         });
-        take_one(&mut state.swallow)
+        consume_one(&mut state.remaining_withheld)
     };
-    if swallowed {
-        slot.finished = true;
+    if withheld {
+        slot.completed = true;
         drop(slot);
         return std::future::pending().await;
     }
     let time = shared.service_time(parts.uri.query());
-    let time_to_end = deadline.map_or(time, |left| left.min(time));
-    sleep_until(tokio::time::Instant::now() + time_to_end).await;
+    let run_time = deadline.map_or(time, |left| left.min(time));
+    sleep_until(tokio::time::Instant::now() + run_time).await;
     if deadline.is_some_and(|left| left < time) {
         return slot.deadline_exceeded();
     }
-    let body = AnswerBody::new(
-        Answer::new(&request_id, &body_digest),
+    let body = ResponseBody::new(
+        ResponseBytes::new(&request_id, &body_digest),
         parts.uri.query(),
-        cut_point(shared),
+        take_cut_point(shared),
         slot,
     );
-    let mut answer = Response::new(body);
-    answer
+    let mut response = Response::new(body);
+    response
         .headers_mut()
         .insert("x-request-id", header(&request_id));
-    answer
+    response
 }
 
-fn arrive(shared: &Arc<Shared>, parts: &http::request::Parts, arrived: Instant) -> Arrival {
+/// Decides how to handle a request, records it, and occupies a slot if it is to run.
+fn admit(
+    shared: &Arc<Shared>,
+    parts: &http::request::Parts,
+    arrived: Instant,
+) -> AdmissionDecision {
     let mut state = shared.state();
-    if carries_key(parts) {
+    if contains_credentials(parts) {
         state.records.key_seen += 1;
     }
-    if take_one(&mut state.close_unread) {
-        return Arrival::CloseUnread;
+    if consume_one(&mut state.remaining_closed_unread) {
+        return AdmissionDecision::CloseUnread;
     }
     if let Some(since) = state.draining_since {
         state
             .records
             .arrived_while_draining
             .push(arrived.saturating_duration_since(since));
-        return Arrival::Drain;
+        return AdmissionDecision::RefuseDraining;
     }
     if state.busy >= shared.cfg.slots {
         state.records.over_slots += 1;
-        return Arrival::Shed;
+        return AdmissionDecision::Shed;
     }
     let busy = state.busy + 1;
     state.set_busy(busy);
-    Arrival::Work(Slot {
+    AdmissionDecision::Run(Slot {
         shared: Arc::clone(shared),
-        finished: false,
+        completed: false,
     })
 }
 
-fn carries_key(parts: &http::request::Parts) -> bool {
+/// Returns whether the request has credentials: an `authorization` header, or an API key in any
+/// header value, the path or the query.
+fn contains_credentials(parts: &http::request::Parts) -> bool {
     let has_key = |bytes: &[u8]| {
         bytes
-            .windows(KEY_PREFIX.len())
-            .any(|part| part == KEY_PREFIX)
+            .windows(API_KEY_PREFIX.len())
+            .any(|part| part == API_KEY_PREFIX)
     };
     parts.headers.contains_key(http::header::AUTHORIZATION)
         || parts
@@ -755,12 +791,14 @@
         || has_key(parts.uri.to_string().as_bytes())
 }
 
-fn cut_point(shared: &Shared) -> Option<usize> {
+/// Returns the offset at which the next response is to be cut, if any.
+fn take_cut_point(shared: &Shared) -> Option<usize> {
     let mut state = shared.state();
-    take_one(&mut state.cut_answers).then_some(state.cut_after)
+    consume_one(&mut state.remaining_cuts).then_some(state.cut_after_bytes)
 }
 
-/// Returns the digest and the size of the whole body, or `None` if it was cut.
+/// Returns the digest and the size in bytes of the complete body, or `None` if the body ended with
+/// an error.
 async fn read_body(body: &mut Incoming) -> Option<([u8; 32], u64)> {
     let mut hasher = Sha256::new();
     let mut bytes = 0;
@@ -773,19 +811,21 @@
     Some((hasher.finalize().into(), bytes))
 }
 
-/// A busy slot, free again when dropped.
+/// A busy slot. Dropping it frees the slot.
 #[derive(Debug)]
 struct Slot {
     shared: Arc<Shared>,
-    /// Whether the request ended by itself; if not, dropping counts as a cancellation.
-    finished: bool,
+    /// Whether the request ended regularly. If not, dropping the slot counts as a cancellation by the
+    /// caller.
+    completed: bool,
 }
 
 impl Slot {
-    fn deadline_exceeded(mut self) -> Response<AnswerBody> {
-        self.finished = true;
+    /// Records an expired deadline, frees the slot and returns the response to the request.
+    fn deadline_exceeded(mut self) -> Response<ResponseBody> {
+        self.completed = true;
         self.shared.state().records.deadline_exceeded += 1;
-        status(StatusCode::GATEWAY_TIMEOUT, Some("x-deadline"))
+        status_response(StatusCode::GATEWAY_TIMEOUT, Some("x-deadline"))
     }
 }
 
@@ -794,119 +834,130 @@
         let mut state = self.shared.state();
         let busy = state.busy - 1;
         state.set_busy(busy);
-        if !self.finished {
+        if !self.completed {
             state.records.cancelled += 1;
         }
     }
 }
 
-/// The body ended before its announced end.
+/// The response body was cut by an injected fault.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is cut")]
-struct AnswerCut;
+#[error("the response body was cut by an injected fault")]
+struct ResponseCut;
 
-/// Body of an answer, produced in parts.
-struct AnswerBody {
-    source: Source,
+/// Response body that is generated frame by frame.
+struct ResponseBody {
+    source: BodySource,
+    /// Number of bytes that were passed to the connection.
     sent: usize,
-    /// Size of the whole body.
+    /// Size of the complete body in bytes.
     size: usize,
+    /// Offset in bytes at which the body fails. Always below `size`.
     cut_at: Option<usize>,
-    announce_size: bool,
-    pace: Option<Duration>,
-    pause: Option<Pin<Box<Sleep>>>,
-    /// Held until the last part is handed over.
+    /// Whether the response has a `content-length` header.
+    send_content_length: bool,
+    /// Delay before each frame.
+    frame_delay: Option<Duration>,
+    /// Delay in progress before the next frame.
+    pending_delay: Option<Pin<Box<Sleep>>>,
+    /// Freed when the last frame is passed to the connection. `None` for bodies without a slot.
     slot: Option<Slot>,
 }
 
-enum Source {
+enum BodySource {
     Text(Bytes),
-    Answer(Answer),
+    Generated(ResponseBytes),
 }
 
-impl AnswerBody {
-    fn text(text: &str) -> AnswerBody {
+impl ResponseBody {
+    fn text(text: &str) -> ResponseBody {
         let text = Bytes::copy_from_slice(text.as_bytes());
-        AnswerBody {
+        ResponseBody {
             sent: 0,
             size: text.len(),
-            source: Source::Text(text),
+            source: BodySource::Text(text),
             cut_at: None,
-            announce_size: true,
-            pace: None,
-            pause: None,
+            send_content_length: true,
+            frame_delay: None,
+            pending_delay: None,
             slot: None,
         }
     }
 
-    fn new(answer: Answer, query: Option<&str>, cut_at: Option<usize>, slot: Slot) -> AnswerBody {
+    fn new(
+        bytes: ResponseBytes,
+        query: Option<&str>,
+        cut_at: Option<usize>,
+        slot: Slot,
+    ) -> ResponseBody {
         let size = query_value(query, "bytes").and_then(|bytes| bytes.parse().ok());
-        let size = size.unwrap_or(DEFAULT_ANSWER_BYTES);
-        let mut body = AnswerBody {
-            source: Source::Answer(answer),
+        let size = size.unwrap_or(DEFAULT_RESPONSE_BYTES);
+        let mut body = ResponseBody {
+            source: BodySource::Generated(bytes),
             sent: 0,
             size,
             cut_at: cut_at.filter(|at| *at < size),
-            announce_size: query_value(query, "chunked").as_deref() != Some("1"),
-            pace: query_ms(query, "pace_ms"),
-            pause: None,
+            send_content_length: query_value(query, "chunked").as_deref() != Some("1"),
+            frame_delay: query_ms(query, "pace_ms"),
+            pending_delay: None,
             slot: Some(slot),
         };
-        body.pause = body.next_pause();
-        // hyper does not poll an empty body.
-        body.finish_if_done();
+        body.pending_delay = body.start_next_delay();
+        // hyper does not poll an empty body, so its slot is freed here.
+        body.free_slot_if_complete();
         body
     }
 
-    fn next_pause(&self) -> Option<Pin<Box<Sleep>>> {
-        let pause = if self.cut_at == Some(self.sent) {
-            Some(CUT_PAUSE)
+    /// Returns the timer of the delay before the next frame, or before the cut if it is next.
+    fn start_next_delay(&self) -> Option<Pin<Box<Sleep>>> {
+        let delay = if self.cut_at == Some(self.sent) {
+            Some(DELAY_BEFORE_CUT)
         } else {
-            self.pace
+            self.frame_delay
         };
-        pause.map(|pause| Box::pin(tokio::time::sleep(pause)))
+        delay.map(|delay| Box::pin(tokio::time::sleep(delay)))
     }
 
-    /// Frees the slot before the caller can see the end of the answer, so that its next request
-    /// does not find the slot busy.
-    fn finish_if_done(&mut self) {
+    /// Frees the slot once all bytes are passed on. This happens before the caller can receive the
+    /// end of the response, so that its next request is not shed because of this one.
+    fn free_slot_if_complete(&mut self) {
         if self.sent == self.size
             && let Some(mut slot) = self.slot.take()
         {
-            slot.finished = true;
+            slot.completed = true;
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = ResponseCut;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseCut>>> {
         if self.sent == self.size {
             return Poll::Ready(None);
         }
-        if let Some(pause) = &mut self.pause {
-            ready!(pause.as_mut().poll(cx));
-            self.pause = None;
+        if let Some(pending_delay) = &mut self.pending_delay {
+            ready!(pending_delay.as_mut().poll(cx));
+            self.pending_delay = None;
         }
         if self.cut_at == Some(self.sent) {
-            return Poll::Ready(Some(Err(AnswerCut)));
+            return Poll::Ready(Some(Err(ResponseCut)));
         }
         let end = self
             .cut_at
             .unwrap_or(self.size)
-            .min(self.sent + FRAME_BYTES);
+            .min(self.sent + MAX_FRAME_BYTES);
         let data = match &self.source {
-            Source::Text(text) => text.slice(self.sent..end),
-            Source::Answer(answer) => answer.range(self.sent, end - self.sent),
+            BodySource::Text(text) => text.slice(self.sent..end),
+            BodySource::Generated(bytes) => bytes.range(self.sent, end - self.sent),
         };
         self.sent = end;
-        self.pause = self.next_pause();
-        self.finish_if_done();
+        self.pending_delay = self.start_next_delay();
+        self.free_slot_if_complete();
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
@@ -915,7 +966,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.announce_size {
+        if self.send_content_length {
             SizeHint::with_exact((self.size - self.sent) as u64)
         } else {
             SizeHint::default()
@@ -923,15 +974,16 @@
     }
 }
 
-fn status(code: StatusCode, mark: Option<&'static str>) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::text(""));
-    *answer.status_mut() = code;
-    if let Some(mark) = mark {
-        answer
+/// Returns an empty response with this status and, if given, a header `flag_header: 1`.
+fn status_response(code: StatusCode, flag_header: Option<&'static str>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::text(""));
+    *response.status_mut() = code;
+    if let Some(flag_header) = flag_header {
+        response
             .headers_mut()
-            .insert(mark, HeaderValue::from_static("1"));
+            .insert(flag_header, HeaderValue::from_static("1"));
     }
-    answer
+    response
 }
 
 fn header(value: &str) -> HeaderValue {
--- a/crates/filbertgrade-standins/src/caller/load.rs
+++ b/crates/filbertgrade-standins/src/caller/load.rs
@@ -12,7 +12,7 @@
 
 use super::report::{CallRecord, Limit, LoadReport};
 use super::{CallRequest, Caller, CallerConfig, Key, Route, exponential};
-use crate::backend::DEFAULT_ANSWER_BYTES;
+use crate::backend::DEFAULT_RESPONSE_BYTES;
 
 /// Largest number of calls in flight per team. More calls than this count as skipped, so that a
 /// system that does not answer cannot exhaust the memory of the test.
@@ -69,7 +69,7 @@
             path,
             query: String::new(),
             body_bytes,
-            answer_bytes: DEFAULT_ANSWER_BYTES,
+            answer_bytes: DEFAULT_RESPONSE_BYTES,
             weight: 1,
             idempotency_key: false,
         }
--- a/crates/filbertgrade-standins/src/caller/mod.rs
+++ b/crates/filbertgrade-standins/src/caller/mod.rs
@@ -30,7 +30,7 @@
 pub use self::report::{
     CallRecord, Joined, Limit, LoadReport, TeamReport, admitted_by_team, over_rate,
 };
-use crate::backend::{DEFAULT_ANSWER_BYTES, expected_answer};
+use crate::backend::{DEFAULT_RESPONSE_BYTES, expected_answer};
 use crate::common::lock;
 
 /// Secret that a caller presents. Its `Debug` form is redacted.
@@ -132,7 +132,7 @@
             path: path.to_owned(),
             query: String::new(),
             body: Bytes::new(),
-            answer_bytes: DEFAULT_ANSWER_BYTES,
+            answer_bytes: DEFAULT_RESPONSE_BYTES,
             deadline: Duration::from_secs(2),
             idempotency_key: None,
         }
--- a/crates/filbertgrade-standins/src/common.rs
+++ b/crates/filbertgrade-standins/src/common.rs
@@ -1,24 +1,25 @@
-//! Helpers that every stand-in shares.
+//! Helpers shared by the stand-ins.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tokio::time::Instant;
 
-/// Locks `mutex` and ignores poisoning, so that one failed test assertion does not hide the
-/// records behind a second panic.
+/// Locks `mutex` and ignores poisoning, so that a failed test assertion that holds the lock does
+/// not cause a second panic in the code that reads the records.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sleeps until `due`, and not at all if it has passed. The timer rounds up to whole milliseconds,
-/// which would add up to 1 ms to each part of a stream without a delay.
+/// Sleeps until `due`, and returns without yielding if it has passed. The timer rounds up to whole
+/// milliseconds, which would add up to 1 ms to each part of a stream that has no delay.
 pub(crate) async fn sleep_until(due: Instant) {
     if due > Instant::now() {
         tokio::time::sleep_until(due).await;
     }
 }
 
-/// Decodes `%XX` escapes. A malformed escape is kept as it is.
+/// Decodes `%XX` escapes. A malformed escape is left unchanged. Decoded bytes that are not UTF-8
+/// become U+FFFD.
 pub(crate) fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let mut out = Vec::with_capacity(bytes.len());
@@ -36,7 +37,8 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Iterates over the decoded `name=value` pairs of a query string.
+/// Iterates over the decoded `name=value` pairs of a query string. A pair without `=` has an empty
+/// value.
 pub(crate) fn query_pairs(query: Option<&str>) -> impl Iterator<Item = (String, String)> + '_ {
     query
         .unwrap_or("")
@@ -48,7 +50,7 @@
         })
 }
 
-/// Returns the first decoded value of `name` in a query string.
+/// Returns the decoded value of the first pair with this name in a query string.
 pub(crate) fn query_value(query: Option<&str>, name: &str) -> Option<String> {
     query_pairs(query)
         .find(|(key, _)| key == name)
--- a/crates/filbertgrade-standins/tests/backend.rs
+++ b/crates/filbertgrade-standins/tests/backend.rs
@@ -118,7 +118,7 @@
         (drained.status().as_u16(), &drained.headers()["x-drain"]),
         (503, &"1".parse().unwrap())
     );
-    server.set_load_lie(Some(0.5));
+    server.set_load_override(Some(0.5));
     let load = get("/load", &[]).await;
     assert_eq!(&load.body()[..], br#"{"load":0.500,"busy":1,"slots":2}"#);
     let records = server.records();
