--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a backend server.
 //!
 //! The server speaks HTTP/1.1 and HTTP/2 without TLS and serves any path `/<service>/...`. It
-//! reads the complete request body and responds with 200 and the body of [`expected_answer`].
+//! reads the complete request body and responds with 200 and the body of [`expected_response`].
 //! Query parameters of the request change the response:
 //!
 //! - `bytes=N`: size of the response body in bytes, default 64;
@@ -46,7 +46,7 @@
 
 use crate::common::{lock, query_value, sleep_until};
 use crate::response::ResponseBytes;
-pub use crate::response::{DEFAULT_RESPONSE_BYTES, expected_answer};
+pub use crate::response::{DEFAULT_RESPONSE_BYTES, expected_response};
 
 /// Largest size in bytes of each data frame of a response body.
 const MAX_FRAME_BYTES: usize = 16 * 1024;
@@ -186,7 +186,7 @@
 
     /// Returns the number of runs of a request.
     #[must_use]
-    pub fn ran(&self, request_id: &str) -> u64 {
+    pub fn run_count(&self, request_id: &str) -> u64 {
         self.runs
             .iter()
             .filter(|run| run.request_id == request_id)
@@ -266,8 +266,8 @@
 
     /// Returns the number of runs of a request so far.
     #[must_use]
-    pub fn ran(&self, request_id: &str) -> u64 {
-        self.shared.state().records.ran(request_id)
+    pub fn run_count(&self, request_id: &str) -> u64 {
+        self.shared.state().records.run_count(request_id)
     }
 
     /// Returns the number of slots that are busy now.
@@ -284,7 +284,7 @@
 
     /// Freezes every connection that is open now until the caller closes it: requests and responses
     /// on it are dropped. Connections opened later are not affected.
-    pub fn silence_open_connections(&self) {
+    pub fn freeze_open_connections(&self) {
         for connection in &self.shared.state().connections {
             connection.frozen.send_replace(true);
         }
@@ -292,7 +292,7 @@
 
     /// Cuts the next `responses` responses after `bytes` bytes of their body. Responses that are not
     /// longer than this are sent complete, but also count towards `responses`.
-    pub fn cut_next_answers(&self, responses: u64, bytes: usize) {
+    pub fn cut_next_responses(&self, responses: u64, bytes: usize) {
         let mut state = self.shared.state();
         state.remaining_cuts = responses;
         state.cut_after_bytes = bytes;
@@ -305,7 +305,7 @@
 
     /// Runs the next `requests` requests and never sends their responses. Their slots are freed and
     /// their connections stay open.
-    pub fn swallow_next(&self, requests: u64) {
+    pub fn withhold_next_responses(&self, requests: u64) {
         self.shared.state().remaining_withheld = requests;
     }
 
@@ -322,7 +322,7 @@
 
     /// Makes `GET /health` report healthy (`Some(true)`) or failing (`Some(false)`) regardless of the
     /// actual state. `None` restores the actual state.
-    pub fn set_health_lie(&self, healthy: Option<bool>) {
+    pub fn set_health_override(&self, healthy: Option<bool>) {
         self.shared.state().health_override = healthy;
     }
 
--- a/crates/filbertgrade-standins/src/caller/load.rs
+++ b/crates/filbertgrade-standins/src/caller/load.rs
@@ -20,7 +20,7 @@
 
 /// One kind of request in the mix of a team.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     /// HTTP method. `GET` and `PUT` count as idempotent.
     pub method: Method,
     /// Path `/<service>/...` without a query.
@@ -37,34 +37,34 @@
     pub idempotency_key: bool,
 }
 
-impl Kind {
+impl RequestKind {
     /// `GET /<service>/chart`.
     #[must_use]
-    pub fn chart(service: &str) -> Kind {
-        Kind::new(Method::GET, format!("/{service}/chart"), 0)
+    pub fn chart(service: &str) -> RequestKind {
+        RequestKind::new(Method::GET, format!("/{service}/chart"), 0)
     }
 
     /// `POST /<service>/order` with a body of 256 bytes.
     #[must_use]
-    pub fn order(service: &str) -> Kind {
-        Kind::new(Method::POST, format!("/{service}/order"), 256)
+    pub fn order(service: &str) -> RequestKind {
+        RequestKind::new(Method::POST, format!("/{service}/order"), 256)
     }
 
     /// `PUT /<service>/scan` with a body of `body_bytes` bytes.
     #[must_use]
-    pub fn upload(service: &str, body_bytes: usize) -> Kind {
-        Kind::new(Method::PUT, format!("/{service}/scan"), body_bytes)
+    pub fn upload(service: &str, body_bytes: usize) -> RequestKind {
+        RequestKind::new(Method::PUT, format!("/{service}/scan"), body_bytes)
     }
 
     /// Changes the weight.
     #[must_use]
-    pub fn weight(mut self, weight: u32) -> Kind {
+    pub fn weight(mut self, weight: u32) -> RequestKind {
         self.weight = weight;
         self
     }
 
-    fn new(method: Method, path: String, body_bytes: usize) -> Kind {
-        Kind {
+    fn new(method: Method, path: String, body_bytes: usize) -> RequestKind {
+        RequestKind {
             method,
             path,
             query: String::new(),
@@ -89,7 +89,7 @@
     /// mean rate does not depend on this. Default 1.
     pub burst: u32,
     /// Kinds of requests. Default none; the caller has to set at least one.
-    pub mix: Vec<Kind>,
+    pub mix: Vec<RequestKind>,
     /// Client addresses of the team's callers, each with look-ups and connections of its own;
     /// requests are spread over them at random. Default none, which means one caller with the
     /// address in [`LoadConfig::caller`].
@@ -102,7 +102,7 @@
 impl TeamLoad {
     /// Creates the load of one team with the default burst and no key or limit.
     #[must_use]
-    pub fn new(name: &str, rate: f64, mix: Vec<Kind>) -> TeamLoad {
+    pub fn new(name: &str, rate: f64, mix: Vec<RequestKind>) -> TeamLoad {
         TeamLoad {
             name: name.to_owned(),
             key: None,
@@ -273,7 +273,7 @@
 }
 
 fn request(
-    mix: &[Kind],
+    mix: &[RequestKind],
     request_id: String,
     deadline: Duration,
     bodies: &Bodies,
@@ -306,7 +306,7 @@
     /// Number of different bodies of the largest size.
     const OFFSETS: usize = 4096;
 
-    fn new(mix: &[Kind], rng: &mut StdRng) -> Bodies {
+    fn new(mix: &[RequestKind], rng: &mut StdRng) -> Bodies {
         let largest = mix.iter().map(|kind| kind.body_bytes).max().unwrap_or(0);
         let mut bytes = vec![0; largest + Bodies::OFFSETS];
         rng.fill(bytes.as_mut_slice());
--- a/crates/filbertgrade-standins/src/caller/mod.rs
+++ b/crates/filbertgrade-standins/src/caller/mod.rs
@@ -26,11 +26,11 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use self::connection::{Pool, SendFailure};
-pub use self::load::{Kind, Load, LoadConfig, TeamLoad};
+pub use self::load::{Load, LoadConfig, RequestKind, TeamLoad};
 pub use self::report::{
-    CallRecord, Joined, Limit, LoadReport, TeamReport, admitted_by_team, over_rate,
+    BackendComparison, CallRecord, Limit, LoadReport, TeamReport, admitted_by_team, count_over_rate,
 };
-use crate::backend::{DEFAULT_RESPONSE_BYTES, expected_answer};
+use crate::backend::{DEFAULT_RESPONSE_BYTES, expected_response};
 use crate::common::lock;
 
 /// Secret that a caller presents. Its `Debug` form is redacted.
@@ -408,7 +408,7 @@
                 answer_bytes,
                 ..
             } = request;
-            if body == expected_answer(request_id, sent, *answer_bytes) {
+            if body == expected_response(request_id, sent, *answer_bytes) {
                 Outcome::Whole
             } else {
                 Outcome::WrongAnswer
--- a/crates/filbertgrade-standins/src/caller/report.rs
+++ b/crates/filbertgrade-standins/src/caller/report.rs
@@ -135,7 +135,7 @@
     fn judge_refusals(&mut self, sent: &[Instant]) {
         let Some(limit) = self.limit else { return };
         let refused = self.refused_total();
-        let admissible = self.sent - over_rate(sent, limit, Duration::ZERO);
+        let admissible = self.sent - count_over_rate(sent, limit, Duration::ZERO);
         let admitted = self.sent - refused;
         self.refused_within_rate = admissible.saturating_sub(admitted).min(refused);
         self.refused_over_rate = refused - self.refused_within_rate;
@@ -162,7 +162,7 @@
 /// What a comparison of calls and back ends shows. All counts but `rerun_idempotent` are zero for
 /// a correct system.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Joined {
+pub struct BackendComparison {
     /// Runs after the first of requests that are not idempotent.
     pub repeated: u64,
     /// Runs after the first of idempotent requests.
@@ -171,7 +171,7 @@
     pub key_seen_by_backend: u64,
     /// Requests that arrived at a back end while all its slots were busy.
     pub over_slots: u64,
-    /// Requests that ran above burst + rate x length, as [`over_rate`] counts them.
+    /// Requests that ran above burst + rate x length, as [`count_over_rate`] counts them.
     pub over_rate: u64,
     /// Requests that ran although their refusal says that they did not.
     pub ran_after_not_run: u64,
@@ -225,15 +225,19 @@
     /// `jitter` is the longest time by which the way from admission to a back end may differ
     /// between two requests. Zero judges arrivals as if they were admissions.
     #[must_use]
-    pub fn join(&self, backends: &[BackendRecords], jitter: Duration) -> Joined {
+    pub fn compare_with_backends(
+        &self,
+        backends: &[BackendRecords],
+        jitter: Duration,
+    ) -> BackendComparison {
         let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
         for run in backends.iter().flat_map(|records| &records.runs) {
             runs.entry(run.request_id.as_str()).or_default().push(run);
         }
-        let mut joined = Joined {
+        let mut joined = BackendComparison {
             key_seen_by_backend: backends.iter().map(|records| records.key_seen).sum(),
             over_slots: backends.iter().map(|records| records.over_slots).sum(),
-            ..Joined::default()
+            ..BackendComparison::default()
         };
         let mut admitted: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
         for call in &self.calls {
@@ -248,7 +252,7 @@
         }
         for (team, arrivals) in admitted {
             if let Some(limit) = self.teams.get(team).and_then(|report| report.limit) {
-                joined.over_rate += over_rate(&arrivals, limit, jitter);
+                joined.over_rate += count_over_rate(&arrivals, limit, jitter);
             }
         }
         joined
@@ -276,7 +280,7 @@
     }
 }
 
-impl Joined {
+impl BackendComparison {
     fn add(&mut self, call: &CallRecord, runs: &[&Run]) {
         let again = (runs.len() as u64).saturating_sub(1);
         if call.idempotent {
@@ -317,7 +321,7 @@
 /// burst + rate x length. `jitter` lengthens every window by the time by which the observed times
 /// may be off from each other. `times` need not be in order.
 #[must_use]
-pub fn over_rate(times: &[Instant], limit: Limit, jitter: Duration) -> u64 {
+pub fn count_over_rate(times: &[Instant], limit: Limit, jitter: Duration) -> u64 {
     // A full bucket that refills at the rate never lacks a token exactly if every window holds.
     let capacity = limit.burst + limit.rate * jitter.as_secs_f64();
     let mut times = times.to_vec();
--- a/crates/filbertgrade-standins/src/platform.rs
+++ b/crates/filbertgrade-standins/src/platform.rs
@@ -187,7 +187,7 @@
 
     /// Lets the next `writes` `PUT` or `DELETE` calls take effect and closes their connections
     /// without an answer.
-    pub fn lose_next_answers(&self, writes: u64) {
+    pub fn drop_next_responses(&self, writes: u64) {
         lock(&self.shared.faults).lose_answers = writes;
     }
 
--- a/crates/filbertgrade-standins/src/proxy.rs
+++ b/crates/filbertgrade-standins/src/proxy.rs
@@ -54,7 +54,7 @@
     /// Bandwidth that all connections with this fault share. Default no limit.
     pub bandwidth: Option<Bandwidth>,
     /// Holds all bytes and the end of the stream until this is switched off. Default off.
-    pub silent: bool,
+    pub stalled: bool,
     /// Closes a connection in both directions, without a reset, after this number of bytes has
     /// passed on it since the fault was set. Default no limit.
     pub truncate_after: Option<u64>,
@@ -569,7 +569,7 @@
         let rule = rules.rule(self.source, self.direction);
         if rules.frozen.contains(&self.id) {
             Verdict::Drop
-        } else if rule.fault.silent {
+        } else if rule.fault.stalled {
             Verdict::Hold
         } else {
             Verdict::Pass(rule.clone())
--- a/crates/filbertgrade-standins/src/response.rs
+++ b/crates/filbertgrade-standins/src/response.rs
@@ -23,7 +23,7 @@
 
 /// Returns the response body of `bytes` bytes for a request with this id and body.
 #[must_use]
-pub fn expected_answer(request_id: &str, body: &[u8], bytes: usize) -> Bytes {
+pub fn expected_response(request_id: &str, body: &[u8], bytes: usize) -> Bytes {
     ResponseBytes::new(request_id, &Sha256::digest(body).into()).range(0, bytes)
 }
 
--- a/crates/filbertgrade-standins/src/soak/inject.rs
+++ b/crates/filbertgrade-standins/src/soak/inject.rs
@@ -98,7 +98,7 @@
         }
         Fault::StoreOneWay(vm) => {
             let silent = proxy::Fault {
-                silent: true,
+                stalled: true,
                 ..proxy::Fault::default()
             };
             store_fault(&vms[vm], silent, length).await;
--- a/crates/filbertgrade-standins/tests/backend.rs
+++ b/crates/filbertgrade-standins/tests/backend.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use filbertgrade_standins::backend::{BackendConfig, BackendServer, ServiceTime, expected_answer};
+use filbertgrade_standins::backend::{
+    BackendConfig, BackendServer, ServiceTime, expected_response,
+};
 use rstest::rstest;
 use support::{ANY, call};
 
@@ -40,12 +42,12 @@
     .await;
     let answer = answer.unwrap();
     assert_eq!(answer.status(), 200);
-    assert_eq!(answer.body(), &expected_answer("r1", b"scan", bytes));
+    assert_eq!(answer.body(), &expected_response("r1", b"scan", bytes));
     assert_ne!(
-        expected_answer("r2", b"scan", 64),
-        expected_answer("r1", b"scan", 64)
+        expected_response("r2", b"scan", 64),
+        expected_response("r1", b"scan", 64)
     );
-    assert_eq!((server.ran("r1"), server.busy()), (1, 0));
+    assert_eq!((server.run_count("r1"), server.busy()), (1, 0));
 }
 
 /// Guards against requests that run above the slots or that hold a slot after the caller left.
@@ -88,7 +90,11 @@
         (1, 1, 1)
     );
     assert_eq!(
-        (server.ran("long"), server.ran("second"), server.busy()),
+        (
+            server.run_count("long"),
+            server.run_count("second"),
+            server.busy()
+        ),
         (1, 0, 0)
     );
 }
@@ -111,7 +117,7 @@
     );
     server.set_draining(true);
     assert_eq!(get("/health", &[]).await.status(), 503);
-    server.set_health_lie(Some(true));
+    server.set_health_override(Some(true));
     assert_eq!(get("/health", &[]).await.status(), 200);
     let drained = get("/s/x", &[("x-request-id", "d")]).await;
     assert_eq!(
@@ -129,7 +135,7 @@
         ),
         (1, 1)
     );
-    assert_eq!(server.ran("d"), 0);
+    assert_eq!(server.run_count("d"), 0);
 }
 
 /// Guards against a load lag that reports the present.
@@ -166,7 +172,7 @@
             .await
             .is_none()
     );
-    server.cut_next_answers(1, 100);
+    server.cut_next_responses(1, 100);
     let cut = call(
         addr,
         "POST",
@@ -176,7 +182,7 @@
     )
     .await;
     assert!(cut.is_none());
-    server.swallow_next(1);
+    server.withhold_next_responses(1);
     let swallowed = call(
         addr,
         "POST",
@@ -209,7 +215,7 @@
     while server.busy() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    server.silence_open_connections();
+    server.freeze_open_connections();
     tokio::time::sleep(SHORT).await;
     assert_eq!((server.busy(), server.connections()), (0, 1));
     assert!(call(addr, "GET", "/s/x", &[], "").await.is_some());
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -10,11 +10,11 @@
 
 use bytes::Bytes;
 use filbertgrade_standins::backend::{
-    BackendConfig, BackendRecords, BackendServer, Run, ServiceTime, expected_answer,
+    BackendConfig, BackendRecords, BackendServer, Run, ServiceTime, expected_response,
 };
 use filbertgrade_standins::caller::{
-    CallRecord, CallRequest, Caller, CallerConfig, Joined, Key, Kind, Limit, Load, LoadConfig,
-    LoadReport, Outcome, Route, TeamLoad, admitted_by_team, over_rate,
+    BackendComparison, CallRecord, CallRequest, Caller, CallerConfig, Key, Limit, Load, LoadConfig,
+    LoadReport, Outcome, RequestKind, Route, TeamLoad, admitted_by_team, count_over_rate,
 };
 use http::{Method, Request, Response};
 use http_body_util::Full;
@@ -88,11 +88,11 @@
 /// Guards against endings that are classified as another one, over both versions of HTTP.
 #[rstest]
 #[case::whole(|_: &BackendServer| (), Outcome::Whole)]
-#[case::cut(|server: &BackendServer| server.cut_next_answers(1, 500), Outcome::Cut)]
-#[case::swallowed(|server: &BackendServer| server.swallow_next(1), Outcome::Lost { sent: true })]
+#[case::cut(|server: &BackendServer| server.cut_next_responses(1, 500), Outcome::Cut)]
+#[case::swallowed(|server: &BackendServer| server.withhold_next_responses(1), Outcome::Lost { sent: true })]
 #[case::closed(|server: &BackendServer| server.close_next_unread(1), Outcome::Lost { sent: true })]
 #[case::drained(|server: &BackendServer| server.set_draining(true), refused(503, "x-drain", true))]
-#[case::silent(|server: &BackendServer| server.silence_open_connections(), Outcome::Lost { sent: true })]
+#[case::silent(|server: &BackendServer| server.freeze_open_connections(), Outcome::Lost { sent: true })]
 #[tokio::test]
 async fn endings(
     #[case] fault: fn(&BackendServer),
@@ -115,8 +115,8 @@
 
 /// Guards against foreign or silently truncated answers that pass, and against misread refusals.
 #[rstest]
-#[case::foreign(200, &[], expected_answer("other", b"order", 1_000), Outcome::WrongAnswer)]
-#[case::truncated(200, &[], expected_answer("r", b"order", 999), Outcome::WrongAnswer)]
+#[case::foreign(200, &[], expected_response("other", b"order", 1_000), Outcome::WrongAnswer)]
+#[case::truncated(200, &[], expected_response("r", b"order", 999), Outcome::WrongAnswer)]
 #[case::not_run(
     429,
     &[("filbertgrade-cause", "over_rate"), ("filbertgrade-outcome", "not_run")],
@@ -211,7 +211,7 @@
         burst: 3.0,
     };
     assert_eq!(
-        over_rate(&times, limit, Duration::from_millis(jitter_ms)),
+        count_over_rate(&times, limit, Duration::from_millis(jitter_ms)),
         over
     );
 }
@@ -268,7 +268,7 @@
         over_slots: 1,
         ..BackendRecords::default()
     };
-    let expected = Joined {
+    let expected = BackendComparison {
         repeated: 1,
         rerun_idempotent: 2,
         key_seen_by_backend: 1,
@@ -279,7 +279,10 @@
         wrong_team: 1,
     };
     let records = [first, second];
-    assert_eq!(report.join(&records, Duration::ZERO), expected);
+    assert_eq!(
+        report.compare_with_backends(&records, Duration::ZERO),
+        expected
+    );
     let admitted = admitted_by_team(&records);
     assert_eq!((admitted["orders"].len(), admitted["charts"].len()), (4, 1));
 }
@@ -290,9 +293,9 @@
 async fn load_report() {
     let server = backend(100).await;
     let mix = vec![
-        Kind::chart("maatboek").weight(2),
-        Kind::order("snijbank"),
-        Kind::upload("scanbak", 20_000),
+        RequestKind::chart("maatboek").weight(2),
+        RequestKind::order("snijbank"),
+        RequestKind::upload("scanbak", 20_000),
     ];
     let team = |name: &str, rate, burst| TeamLoad {
         key: Some(Key::new("fgk_1_secret")),
@@ -335,7 +338,7 @@
         (sent / 8..sent / 2).contains(&posts),
         "{posts} of {sent} are orders"
     );
-    let joined = report.join(&[records], Duration::ZERO);
+    let joined = report.compare_with_backends(&[records], Duration::ZERO);
     assert_eq!(
         (
             joined.key_seen_by_backend,
--- a/crates/filbertgrade-standins/tests/platform.rs
+++ b/crates/filbertgrade-standins/tests/platform.rs
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn lost_answer_takes_effect() {
     let platform = PlatformServer::bind(ANY).await.unwrap();
-    platform.lose_next_answers(1);
+    platform.drop_next_responses(1);
     assert!(
         call(platform.addr(), "GET", "/v1/objects/a", &[], "")
             .await
--- a/crates/filbertgrade-standins/tests/proxy.rs
+++ b/crates/filbertgrade-standins/tests/proxy.rs
@@ -103,7 +103,7 @@
     proxy.set_fault(
         Direction::ToClient,
         Fault {
-            silent: true,
+            stalled: true,
             ..Fault::default()
         },
     );
@@ -183,7 +183,7 @@
         .await
         .unwrap();
     let silent = Fault {
-        silent: true,
+        stalled: true,
         ..Fault::default()
     };
     proxy.set_fault_from(OTHER_SOURCE, Direction::ToServer, silent);
--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -15,7 +15,7 @@
     RenewalReply, ShareLedger,
 };
 use filbertgrade_coord::names::{NameError, TeamName, VmName};
-use filbertgrade_standins::caller::{Limit, over_rate};
+use filbertgrade_standins::caller::{Limit, count_over_rate};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -298,9 +298,9 @@
                 rate: *rate,
                 burst: *rate,
             };
-            over += over_rate(&self.admitted[team], limit, Duration::ZERO);
+            over += count_over_rate(&self.admitted[team], limit, Duration::ZERO);
             let calls = self.sent[team].len() as u64;
-            let admissible = calls - over_rate(&self.sent[team], limit, Duration::ZERO);
+            let admissible = calls - count_over_rate(&self.sent[team], limit, Duration::ZERO);
             let refused = admissible.saturating_sub(self.admitted[team].len() as u64);
             if team == GREEDY {
                 within_greedy += refused;
--- a/crates/filbertgrade/src/process/command/dev/mod.rs
+++ b/crates/filbertgrade/src/process/command/dev/mod.rs
@@ -10,7 +10,9 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_standins::backend::BackendRecords;
-use filbertgrade_standins::caller::{Kind, Limit, Load, LoadConfig, LoadReport, Route, TeamLoad};
+use filbertgrade_standins::caller::{
+    Limit, Load, LoadConfig, LoadReport, RequestKind, Route, TeamLoad,
+};
 use indexmap::IndexMap;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -200,19 +202,19 @@
         .collect()
 }
 
-fn mix(config: &Config) -> Vec<Kind> {
+fn mix(config: &Config) -> Vec<RequestKind> {
     let services: Vec<&str> = config
         .services
         .keys()
         .map(crate::version::ServiceName::as_str)
         .collect();
     let at = |index: usize| services[index.min(services.len() - 1)];
-    let mut order = Kind::order(at(1)).weight(20);
+    let mut order = RequestKind::order(at(1)).weight(20);
     order.idempotency_key = true;
     vec![
-        Kind::chart(at(0)).weight(70),
+        RequestKind::chart(at(0)).weight(70),
         order,
-        Kind::upload(at(2), UPLOAD_BYTES).weight(10),
+        RequestKind::upload(at(2), UPLOAD_BYTES).weight(10),
     ]
 }
 
--- a/crates/filbertgrade/src/process/command/dev/report.rs
+++ b/crates/filbertgrade/src/process/command/dev/report.rs
@@ -93,7 +93,7 @@
         headroom: Headroom,
         drain: Duration,
     ) -> Self {
-        let joined = load.join(records, JITTER);
+        let joined = load.compare_with_backends(records, JITTER);
         let latency = load.latency_us();
         let direct = direct.latency_us();
         let ms = |us: u64| us as f64 / 1000.0;
--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -270,7 +270,7 @@
                     platform.set_history(changes);
                 }
                 if let Some(answers) = value(&mut args, "lose")? {
-                    platform.lose_next_answers(answers);
+                    platform.drop_next_responses(answers);
                 }
                 if let Some(lag) = value(&mut args, "vm_lag")? {
                     platform.set_vm_lag(Duration::from_millis(lag));
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -234,7 +234,7 @@
     /// Loses the platform's answers to VMs while the calls reach it, or ends that.
     pub(crate) fn lose_store_answers(&self, on: bool) {
         let fault = Fault {
-            silent: on,
+            stalled: on,
             ..Fault::default()
         };
         self.store_proxy.set_fault(Direction::ToClient, fault);
@@ -243,7 +243,7 @@
     /// Makes the links between the VMs of `cut` and all others silent, or ends that.
     pub(crate) fn cut_from_peers(&self, cut: &[usize], on: bool) {
         let fault = || Fault {
-            silent: on,
+            stalled: on,
             ..Fault::default()
         };
         for from in 0..self.vms.len() {
--- a/crates/filbertgrade/tests/it/leaving.rs
+++ b/crates/filbertgrade/tests/it/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbertgrade_standins::caller::{Key, Kind, Load, LoadConfig, Route, TeamLoad};
+use filbertgrade_standins::caller::{Key, Load, LoadConfig, RequestKind, Route, TeamLoad};
 
 use crate::fleet::{Fleet, Vm};
 use crate::thin_path::{look_up, serves};
@@ -24,9 +24,12 @@
     fleet
         .wait_until(Duration::from_secs(8), |vm| serves(vm, &secret))
         .await;
-    fleet.backends[0].set_health_lie(Some(true));
+    fleet.backends[0].set_health_override(Some(true));
 
-    let mix = vec![Kind::chart("chart").weight(4), Kind::order("chart")];
+    let mix = vec![
+        RequestKind::chart("chart").weight(4),
+        RequestKind::order("chart"),
+    ];
     let mut team = TeamLoad::new("atelier", 60.0, mix);
     team.key = Some(Key::new(secret));
     let vms = fleet.vms.iter().map(Vm::callers).collect();
--- a/crates/filbertgrade/tests/it/thin_path.rs
+++ b/crates/filbertgrade/tests/it/thin_path.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::{BackendServer, expected_answer};
+use filbertgrade_standins::backend::{BackendServer, expected_response};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 
@@ -27,9 +27,9 @@
     let answer = send(vm, chart(Some(&secret), "r-1")).await.unwrap();
 
     assert_eq!(answer.status(), StatusCode::OK);
-    assert_eq!(answer.body(), &expected_answer("r-1", b"", 2000));
+    assert_eq!(answer.body(), &expected_response("r-1", b"", 2000));
     let records: Vec<_> = fleet.backends.iter().map(BackendServer::records).collect();
-    assert_eq!(records.iter().map(|r| r.ran("r-1")).sum::<u64>(), 1);
+    assert_eq!(records.iter().map(|r| r.run_count("r-1")).sum::<u64>(), 1);
     assert_eq!(records.iter().map(|r| r.key_seen).sum::<u64>(), 0);
     let passed: u64 = fleet.proxies.iter().map(|p| p.counts().to_server).sum();
     assert!(
@@ -60,7 +60,7 @@
         assert_eq!(answer.headers()["filbertgrade-cause"], cause);
         assert_eq!(answer.headers()["filbertgrade-outcome"], "not_run");
     }
-    assert!(fleet.backends.iter().all(|b| b.ran("r-2") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("r-2") == 0));
 }
 
 pub(crate) async fn serves(vm: SocketAddr, secret: &str) -> bool {
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade_standins::backend::BackendServer;
-use filbertgrade_standins::caller::{Kind, Load, LoadConfig, LoadReport, Route, TeamLoad};
+use filbertgrade_standins::caller::{Load, LoadConfig, LoadReport, RequestKind, Route, TeamLoad};
 
 use crate::fleet::Fleet;
 
@@ -69,7 +69,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let vms = fleet.vms.iter().map(crate::fleet::Vm::callers).collect();
-        let mut team = TeamLoad::new("open", RATE, vec![Kind::chart(SERVICE)]);
+        let mut team = TeamLoad::new("open", RATE, vec![RequestKind::chart(SERVICE)]);
         let clients = (0..120_u8).map(|n| IpAddr::V4(Ipv4Addr::new(10, 1 + n % 2, 0, n)));
         team.clients = clients.collect();
         let mut cfg = LoadConfig::new(Route::Lookup(vms), vec![team]);
--- a/crates/filbertgrade/tests/operators/apply.rs
+++ b/crates/filbertgrade/tests/operators/apply.rs
@@ -49,7 +49,7 @@
     let file = File::new(&fleet.config().replace("slots = 4", "slots = 5"));
     // Four answers: one for the changed part, its repetition included, and
     // more than one for the root.
-    fleet.platform.lose_next_answers(4);
+    fleet.platform.drop_next_responses(4);
     let ran = run(&fleet, &["apply", file.path()]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
     assert!(
@@ -57,7 +57,7 @@
             .contains("accepted as version 2; the store's answer was lost")
     );
     assert_eq!(root(&fleet)["version"], 2);
-    fleet.platform.lose_next_answers(0);
+    fleet.platform.drop_next_responses(0);
 }
 
 /// Guards against a false conflict when the root was replaced between the
@@ -73,7 +73,7 @@
     assert_eq!(run(&fleet, &["apply", second.path()]).await.code, 0);
     fleet.platform.set_delay(Duration::from_millis(150));
     let store = &fleet.platform;
-    store.lose_next_answers(u64::MAX);
+    store.drop_next_responses(u64::MAX);
     let revision = store.revision();
     let replace = async {
         while store.revision() < revision + 1 || root(&fleet)["version"] != 3 {
@@ -84,7 +84,7 @@
         next["version"] = 4.into();
         next["apply_id"] = "another".into();
         store.put("config/root", serde_json::to_vec(&next).unwrap());
-        store.lose_next_answers(0);
+        store.drop_next_responses(0);
     };
     let args = ["apply", first.path()];
     let (ran, ()) = tokio::join!(run(&fleet, &args), replace);
--- a/crates/filbertgrade/tests/operators/drain.rs
+++ b/crates/filbertgrade/tests/operators/drain.rs
@@ -32,7 +32,7 @@
     assert_eq!(ran.out, "drain of vm vm-2 is in force on 2 VMs\n");
     assert!(!first_vms(&fleet, 0).await.contains("vm-2"));
 
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let ran = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
     assert!(first_vms(&fleet, 0).await.contains("vm-2"));
@@ -89,7 +89,10 @@
         let answer = send(fleet.vms[1].callers(), req).await.unwrap();
         assert_eq!(answer.status(), 200);
         assert_eq!(
-            (fleet.backends[0].ran(&id), fleet.backends[1].ran(&id)),
+            (
+                fleet.backends[0].run_count(&id),
+                fleet.backends[1].run_count(&id)
+            ),
             (1, 0)
         );
     }
@@ -103,7 +106,7 @@
     fleet.apply().await;
     let start = std::time::Instant::now();
     let silent = async {
-        fleet.platform.lose_next_answers(u64::MAX);
+        fleet.platform.drop_next_responses(u64::MAX);
         while fleet.platform.names("drains/").is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/crates/filbertgrade/tests/operators/key.rs
+++ b/crates/filbertgrade/tests/operators/key.rs
@@ -16,7 +16,7 @@
     assert!(ran.err.contains("teams are atelier, outfitter"), "{ran:?}");
     assert!(fleet.platform.names("keys/").is_empty());
 
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let ran = run(&fleet, &["key", "create", "atelier"]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
     let secret = ran.out.trim().rsplit('_').next().unwrap();
@@ -42,7 +42,7 @@
     );
     let id = |secret: &str| secret.split('_').nth(1).unwrap().to_owned();
     let (first, second) = (id(&first), id(&second));
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let ran = run(&fleet, &["key", "withdraw", &first]).await;
     assert_eq!(ran.code, 0, "{ran:?}");
     assert!(ran.out.starts_with("accepted: "), "{ran:?}");
--- a/crates/filbertgrade/tests/path/bad_input.rs
+++ b/crates/filbertgrade/tests/path/bad_input.rs
@@ -115,7 +115,7 @@
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(fleet.backends.iter().all(|b| b.ran("slow") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("slow") == 0));
 }
 
 /// Guards against a fleet of idle connections that uses up a VM's memory, and
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use http::Request;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::{http1, http2};
@@ -56,7 +56,7 @@
         let (served, refused) = caller.await.unwrap();
         assert!(served > 0);
         for id in refused {
-            let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
+            let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&id)).sum();
             assert_eq!(ran, 0, "{id} ran, but the connection told that it did not");
         }
     }
@@ -92,7 +92,7 @@
         assert_eq!(answer.status(), 200, "{id}: {:?}", answer.headers());
         let ends = answer.headers().contains_key("connection");
         let body = answer.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 20_000), "{id}");
+        assert!(body == expected_response(&id, b"", 20_000), "{id}");
         if ends {
             return n + 1;
         }
@@ -130,7 +130,7 @@
         };
         assert_eq!(answer.status(), 200, "{id}: {:?}", answer.headers());
         let body = answer.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 20_000), "{id}");
+        assert!(body == expected_response(&id, b"", 20_000), "{id}");
     }
     0
 }
--- a/crates/filbertgrade/tests/path/http2.rs
+++ b/crates/filbertgrade/tests/path/http2.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use http::Request;
 use http_body_util::{BodyExt, Full};
 use hyper_util::rt::{TokioExecutor, TokioIo};
@@ -43,7 +43,7 @@
                 let status = answer.status();
                 let body = answer.into_body().collect().await.unwrap().to_bytes();
                 if status == 200 {
-                    assert!(body == expected_answer(&id, id.as_bytes(), bytes), "{id}");
+                    assert!(body == expected_response(&id, id.as_bytes(), bytes), "{id}");
                 } else {
                     // The stand-in sheds when all its slots are busy.
                     assert_eq!(status, 503, "{id}");
@@ -55,7 +55,7 @@
     let mut served = 0;
     for caller in callers {
         let (id, whole) = caller.await.unwrap();
-        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
+        let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&id)).sum();
         assert_eq!(ran, u64::from(whole), "{id}");
         served += u64::from(whole);
     }
@@ -89,7 +89,7 @@
         let id = format!("next-{n}");
         let answer = request(&id, 1).await.unwrap();
         let body = answer.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 500), "{id}");
+        assert!(body == expected_response(&id, b"", 500), "{id}");
     }
 }
 
@@ -119,5 +119,5 @@
     let big = request("big", 80_000).await;
     assert!(big.is_err() || big.is_ok_and(|answer| answer.status() == 431));
     assert_eq!(other.await.unwrap().status(), 200);
-    assert!(fleet.backends.iter().all(|b| b.ran("big") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("big") == 0));
 }
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use filbertgrade_standins::proxy::{Direction, Fault};
 use http::Request;
 use http_body_util::Full;
@@ -53,7 +53,7 @@
 
     let mut whole = 0;
     for end in &ends {
-        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&end.id)).sum();
+        let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&end.id)).sum();
         if end.order {
             assert!(ran <= 1, "ran {ran} times: {end:?}");
         }
@@ -81,10 +81,10 @@
         let n = rng.random_range(0..2);
         let (backend, proxy) = (&fleet.backends[n], &fleet.proxies[n]);
         match rng.random_range(0..11) {
-            0 => backend.swallow_next(1),
-            1 => backend.cut_next_answers(2, 300),
+            0 => backend.withhold_next_responses(1),
+            1 => backend.cut_next_responses(2, 300),
             2 => backend.close_next_unread(2),
-            3 => backend.silence_open_connections(),
+            3 => backend.freeze_open_connections(),
             4 => proxy.cut_open(),
             5 => proxy.freeze_open(),
             6 => backend.set_draining(rng.random_bool(0.3)),
@@ -100,7 +100,7 @@
                 };
                 proxy.set_fault(direction, fault);
             }
-            8 => fleet.platform.lose_next_answers(2),
+            8 => fleet.platform.drop_next_responses(2),
             9 => {
                 fleet.platform.set_down(true);
                 tokio::time::sleep(Duration::from_millis(150)).await;
@@ -135,7 +135,7 @@
         if !keyed {
             req.headers_mut().remove("idempotency-key");
         }
-        let expected = expected_answer(&id, &body, 1000);
+        let expected = expected_response(&id, &body, 1000);
         let first = seed as usize % 2;
         let mut end = end_of(vms[first], req.clone(), &id, &expected).await;
         let mut sends = 1;
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use filbertgrade_standins::proxy::{Direction, Fault};
 use goldenscript::{Command, Context, Runner};
 use http::{Request, Response};
@@ -112,7 +112,7 @@
             }
             "ran" => {
                 let id = first();
-                let ran: u64 = self.fleet.backends.iter().map(|b| b.ran(&id)).sum();
+                let ran: u64 = self.fleet.backends.iter().map(|b| b.run_count(&id)).sum();
                 ran.to_string()
             }
             "cancelled" => {
@@ -192,7 +192,7 @@
             .parse()?;
         Ok(Sending {
             vm: self.fleet.vms[vm - 1].callers(),
-            expected: expected_answer(id, &body, size),
+            expected: expected_response(id, &body, size),
             req: req.body(Full::new(body))?,
         })
     }
@@ -204,11 +204,11 @@
         let cut_after = args.take_key("after").unwrap_or("0").parse()?;
         while let Some((fault, value)) = args.next_key() {
             match fault {
-                "swallow" => backend.swallow_next(value.parse()?),
-                "cut" => backend.cut_next_answers(value.parse()?, cut_after),
+                "swallow" => backend.withhold_next_responses(value.parse()?),
+                "cut" => backend.cut_next_responses(value.parse()?, cut_after),
                 "close_unread" => backend.close_next_unread(value.parse()?),
                 "draining" => backend.set_draining(value.parse()?),
-                "silence_open" => backend.silence_open_connections(),
+                "silence_open" => backend.freeze_open_connections(),
                 _ => return Err(format!("unknown fault {fault}").into()),
             }
         }
@@ -227,7 +227,7 @@
         while let Some((fault, value)) = args.next_key() {
             let truncate_after = Some(value.parse().unwrap_or(0));
             let silent = Fault {
-                silent: true,
+                stalled: true,
                 ..Fault::default()
             };
             let truncate = Fault {
@@ -256,7 +256,7 @@
             match fault {
                 "down" => self.fleet.platform.set_down(value.parse()?),
                 "unresponsive" => self.fleet.platform.set_unresponsive(value.parse()?),
-                "lose_answers" => self.fleet.platform.lose_next_answers(value.parse()?),
+                "lose_answers" => self.fleet.platform.drop_next_responses(value.parse()?),
                 _ => return Err(format!("unknown fault {fault}").into()),
             }
         }
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -135,7 +135,7 @@
             send(fleet.vms[n % 2].callers(), req)
         });
         let answers = futures::future::join_all(attempts).await;
-        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
+        let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&id)).sum();
         assert_eq!(ran, 1, "{id}: {answers:?}");
         let served = answers.iter().flatten().filter(|a| a.status() == 200);
         assert_eq!(served.count(), 1, "{id}: {answers:?}");
--- a/crates/filbertgrade/tests/shares/scene.rs
+++ b/crates/filbertgrade/tests/shares/scene.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use filbertgrade_standins::backend::BackendServer;
 use filbertgrade_standins::caller::{
-    Key, Kind, Limit, Load, LoadConfig, LoadReport, Route, TeamLoad,
+    Key, Limit, Load, LoadConfig, LoadReport, RequestKind, Route, TeamLoad,
 };
 use http::Request;
 use http_body_util::Full;
@@ -110,7 +110,11 @@
         let team = |name: &str, key: &Key, rate, limit| TeamLoad {
             key: Some(key.clone()),
             limit: Some(limit),
-            ..TeamLoad::new(name, rate, vec![Kind::chart("chart"), Kind::order("chart")])
+            ..TeamLoad::new(
+                name,
+                rate,
+                vec![RequestKind::chart("chart"), RequestKind::order("chart")],
+            )
         };
         let teams = vec![
             team("atelier", &self.greedy, GREEDY_LOAD, GREEDY),
@@ -128,7 +132,7 @@
     pub(crate) fn check(&self, report: &LoadReport, refusals: f64) {
         let backends = &self.fleet.backends;
         let records: Vec<_> = backends.iter().map(BackendServer::records).collect();
-        let joined = report.join(&records, JITTER);
+        let joined = report.compare_with_backends(&records, JITTER);
         let (greedy, steady) = (&report.teams["atelier"], &report.teams["outfitter"]);
         println!(
             "allowed refusals {refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
