--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -169,7 +169,7 @@
     pub cancelled: u64,
     /// Requests that received 504 because their deadline expired.
     pub deadline_exceeded: u64,
-    /// AdmissionDecision time of each request during a drain, relative to the start of the drain.
+    /// Admission time of each request during a drain, relative to the start of the drain.
     pub arrived_while_draining: Vec<Duration>,
 }
 
@@ -656,7 +656,7 @@
 }
 
 /// How a request is handled, decided when its headers arrive.
-enum AdmissionDecision {
+enum Admission {
     /// Close the connection without reading the request body.
     CloseUnread,
     /// Respond with 503 and `x-drain`.
@@ -675,7 +675,7 @@
 ) -> Response<ResponseBody> {
     let (parts, mut body) = req.into_parts();
     let decision = admit(shared, &parts, arrived);
-    if matches!(decision, AdmissionDecision::CloseUnread) {
+    if matches!(decision, Admission::CloseUnread) {
         connection.close().await;
     }
     // The bodies of refused requests are read as well, because a response before the end of the
@@ -691,10 +691,8 @@
         }
     };
     let mut slot = match decision {
-        AdmissionDecision::Run(slot) => slot,
-        AdmissionDecision::Shed => {
-            return status_response(StatusCode::SERVICE_UNAVAILABLE, Some("x-shed"));
-        }
+        Admission::Run(slot) => slot,
+        Admission::Shed => return status_response(StatusCode::SERVICE_UNAVAILABLE, Some("x-shed")),
         _ => return status_response(StatusCode::SERVICE_UNAVAILABLE, Some("x-drain")),
     };
     let deadline = header_text(&parts.headers, "x-deadline-ms").parse().ok();
@@ -744,32 +742,28 @@
 }
 
 /// Decides how to handle a request, records it, and occupies a slot if it is to run.
-fn admit(
-    shared: &Arc<Shared>,
-    parts: &http::request::Parts,
-    arrived: Instant,
-) -> AdmissionDecision {
+fn admit(shared: &Arc<Shared>, parts: &http::request::Parts, arrived: Instant) -> Admission {
     let mut state = shared.state();
     if contains_credentials(parts) {
         state.records.key_seen += 1;
     }
     if consume_one(&mut state.remaining_closed_unread) {
-        return AdmissionDecision::CloseUnread;
+        return Admission::CloseUnread;
     }
     if let Some(since) = state.draining_since {
         state
             .records
             .arrived_while_draining
             .push(arrived.saturating_duration_since(since));
-        return AdmissionDecision::RefuseDraining;
+        return Admission::RefuseDraining;
     }
     if state.busy >= shared.cfg.slots {
         state.records.over_slots += 1;
-        return AdmissionDecision::Shed;
+        return Admission::Shed;
     }
     let busy = state.busy + 1;
     state.set_busy(busy);
-    AdmissionDecision::Run(Slot {
+    Admission::Run(Slot {
         shared: Arc::clone(shared),
         completed: false,
     })
