--- a/crates/filbertgrade-standins/src/proxy.rs
+++ b/crates/filbertgrade-standins/src/proxy.rs
@@ -1,13 +1,14 @@
 //! TCP proxy that injects faults at run time.
 //!
-//! Each direction of a connection passes through a pipe: bytes are read in parts of at most
-//! 16 KiB, paced by the bandwidth limit, and written after the delay. Up to 4 MiB are in flight in
-//! a pipe; then the sender meets back-pressure. Connections are accepted at once even under a
-//! fault, because the kernel completes the handshake; a delay applies to data and to its end.
-//! Delays are rounded up to whole milliseconds.
+//! Each direction of a connection is a pipe: bytes are read in chunks of at most 16 KiB, paced by
+//! the bandwidth limit, and written after the delay. A pipe buffers up to 4 MiB; beyond that, it
+//! stops reading, which applies back-pressure to the sender. Faults do not delay the opening of a
+//! connection, because the kernel completes the TCP handshake; a delay applies to the data and to
+//! the end of the stream. Delays are rounded up to whole milliseconds.
 //!
-//! The proxy connects onward from the source IP address of the caller if both the caller and the
-//! target have IPv4 loopback addresses, so the target sees who called.
+//! If the client and the forward address both have IPv4 loopback addresses, the proxy connects to
+//! the forward address from the source IP address of the client, so that the server sees this
+//! address.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io;
@@ -26,78 +27,80 @@
 
 use crate::common::{lock, sleep_until};
 
-/// Largest part in bytes that is read, paced and written at once.
-const PART_BYTES: usize = 16 * 1024;
+/// Largest chunk in bytes that is read, paced and written at once.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Number of parts in flight per direction. 256 parts are 4 MiB, above the product of 280 Mbit/s
-/// and 55 ms (1.9 MB), so the delay alone does not limit the bandwidth of the modelled links.
-const PARTS_IN_FLIGHT: usize = 256;
+/// Largest number of buffered chunks per direction. 256 chunks are 4 MiB, more than the
+/// bandwidth-delay product of the modelled links (280 Mbit/s x 55 ms = 1.9 MB), so a delay alone
+/// does not limit the bandwidth.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// Time for which a truncated connection is still read, so that unread bytes do not turn its end
-/// into a reset.
+/// Time for which a truncated connection is still read after the write side is closed, because
+/// closing a socket with unread bytes would send a reset.
 const TRUNCATE_LINGER: Duration = Duration::from_secs(1);
 
 /// Direction of bytes through a proxy.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Direction {
-    /// From the side that opened the connection to the forward address.
+    /// From the client, which opened the connection, to the forward address.
     ToServer,
-    /// From the forward address to the side that opened the connection.
+    /// From the forward address to the client.
     ToClient,
 }
 
 /// Faults of one direction. The default is no fault.
 #[derive(Clone, Debug, Default)]
 pub struct Fault {
-    /// Time that each byte takes. Default zero.
+    /// Delay of each byte and of the end of the stream. Default zero.
     pub delay: Duration,
-    /// Bandwidth that all connections with this fault share. Default no limit.
+    /// Bandwidth limit that all connections with this fault share. Default no limit.
     pub bandwidth: Option<Bandwidth>,
-    /// Holds all bytes and the end of the stream until this is switched off. Default off.
+    /// Holds all bytes and the end of the stream back until the fault is cleared. Default off.
     pub stalled: bool,
-    /// Closes a connection in both directions, without a reset, after this number of bytes has
-    /// passed on it since the fault was set. Default no limit.
+    /// Closes a connection in both directions, without a reset, once this number of bytes has passed
+    /// in this direction since the fault was set. Default no limit.
     pub truncate_after: Option<u64>,
 }
 
-/// Bandwidth limit. Clones share it, so one limit can cover several directions and proxies.
+/// Bandwidth limit. Clones share the limit, so one limit can cover several directions and proxies.
 #[derive(Clone, Debug)]
 pub struct Bandwidth(Arc<Pacer>);
 
 impl Bandwidth {
-    /// Creates a limit in bytes per second. Zero counts as one.
+    /// Creates a limit in bytes per second. Zero is treated as one.
     #[must_use]
     pub fn new(bytes_per_second: u64) -> Bandwidth {
         let bytes_per_second = bytes_per_second.max(1);
         Bandwidth(Arc::new(Pacer {
             bytes_per_second,
-            free_at: Mutex::new(Instant::now()),
+            reserved_until: Mutex::new(Instant::now()),
         }))
     }
 
-    /// Reserves the time to send `bytes` and returns its end.
+    /// Reserves the time needed to send `bytes` bytes and returns the end of this time.
     fn reserve(&self, bytes: usize) -> Instant {
         let time = Duration::from_secs_f64(bytes as f64 / self.0.bytes_per_second as f64);
-        let mut free_at = lock(&self.0.free_at);
-        *free_at = (*free_at).max(Instant::now()) + time;
-        *free_at
+        let mut reserved_until = lock(&self.0.reserved_until);
+        *reserved_until = (*reserved_until).max(Instant::now()) + time;
+        *reserved_until
     }
 }
 
 #[derive(Debug)]
 struct Pacer {
     bytes_per_second: u64,
-    free_at: Mutex<Instant>,
+    /// End of the last reservation.
+    reserved_until: Mutex<Instant>,
 }
 
-/// Bytes that were delivered, and connections.
+/// Numbers of delivered bytes and of connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ProxyCounts {
     /// Bytes delivered to the forward address.
     pub to_server: u64,
-    /// Bytes delivered to the side that opened the connection.
+    /// Bytes delivered to clients.
     pub to_client: u64,
-    /// Connections accepted, including refused ones.
+    /// Accepted connections, including those that were reset because of a refusal.
     pub connections: u64,
 }
 
@@ -108,7 +111,7 @@
     shared: Arc<Shared>,
     /// Connections end when this sender is dropped.
     _stop: watch::Sender<()>,
-    accept: tokio::task::JoinHandle<()>,
+    accept_task: tokio::task::JoinHandle<()>,
 }
 
 impl FaultProxy {
@@ -125,38 +128,38 @@
             counters: Mutex::default(),
         });
         let (stop, stopped) = watch::channel(());
-        let accept = tokio::spawn(accept_loop(listener, Arc::clone(&shared), stopped));
+        let accept_task = tokio::spawn(accept_loop(listener, Arc::clone(&shared), stopped));
         Ok(FaultProxy {
             addr,
             shared,
             _stop: stop,
-            accept,
+            accept_task,
         })
     }
 
-    /// Returns the address that the proxy listens on.
+    /// Returns the address on which the proxy listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Sends new connections to another address. Open connections stay.
+    /// Forwards new connections to another address. Open connections are not affected.
     pub fn set_forward_to(&self, forward_to: SocketAddr) {
         self.shared
             .rules
             .send_modify(|rules| rules.forward_to = forward_to);
     }
 
-    /// Sets the faults of one direction for every source without faults of its own.
+    /// Sets the faults of one direction for all sources that have no faults of their own.
     pub fn set_fault(&self, direction: Direction, fault: Fault) {
         self.shared.rules.send_modify(|rules| {
             let rule = rules.next_rule(fault);
-            rules.all[direction as usize] = rule;
+            rules.default_rules[direction as usize] = rule;
         });
     }
 
-    /// Sets the faults of one direction for connections from `source`. They replace the faults
-    /// that hold for every source.
+    /// Sets the faults of one direction for connections from `source`. They take precedence over the
+    /// faults for all sources.
     pub fn set_fault_from(&self, source: IpAddr, direction: Direction, fault: Fault) {
         self.shared.rules.send_modify(|rules| {
             let rule = rules.next_rule(fault);
@@ -164,12 +167,12 @@
         });
     }
 
-    /// Resets new connections until this is switched off.
+    /// While `refuse` is set, resets new connections.
     pub fn set_refuse(&self, refuse: bool) {
         self.shared.rules.send_modify(|rules| rules.refuse = refuse);
     }
 
-    /// Resets new connections from `source` until this is switched off.
+    /// While `refuse` is set, resets new connections from `source`.
     pub fn set_refuse_from(&self, source: IpAddr, refuse: bool) {
         self.shared.rules.send_modify(|rules| {
             if refuse {
@@ -180,10 +183,10 @@
         });
     }
 
-    /// Ends every fault that was set. Frozen connections stay frozen.
+    /// Clears all faults and refusals. Frozen connections stay frozen.
     pub fn clear_faults(&self) {
         self.shared.rules.send_modify(|rules| {
-            rules.all = Default::default();
+            rules.default_rules = Default::default();
             rules.by_source.clear();
             rules.refuse = false;
             rules.refused_sources.clear();
@@ -192,21 +195,22 @@
 
     /// Resets every open connection on both sides.
     pub fn cut_open(&self) {
-        self.cut_where(|_| true);
+        self.reset_where(|_| true);
     }
 
     /// Resets every open connection from `source` on both sides.
     pub fn cut_open_from(&self, source: IpAddr) {
-        self.cut_where(|from| from == source);
+        self.reset_where(|from| from == source);
     }
 
-    /// Makes every open connection half-open for ever: it accepts and drops all bytes and does
-    /// not pass on its end. New connections work.
+    /// Freezes every open connection for the rest of its life: the proxy reads and drops all bytes and does
+    /// not pass on the end of the stream, as on a half-open connection. Connections opened later are
+    /// not affected.
     pub fn freeze_open(&self) {
         self.freeze_where(|_| true);
     }
 
-    /// Makes every open connection from `source` half-open for ever.
+    /// Freezes every open connection from `source`, as [`freeze_open`](Self::freeze_open) does.
     pub fn freeze_open_from(&self, source: IpAddr) {
         self.freeze_where(|from| from == source);
     }
@@ -217,7 +221,7 @@
         self.shared.rules.borrow().open.len()
     }
 
-    /// Returns the sum over all sources.
+    /// Returns the counts summed over all sources.
     #[must_use]
     pub fn counts(&self) -> ProxyCounts {
         let counters = lock(&self.shared.counters);
@@ -243,10 +247,10 @@
             .unwrap_or_default()
     }
 
-    fn cut_where(&self, selects: impl Fn(IpAddr) -> bool) {
+    fn reset_where(&self, selects: impl Fn(IpAddr) -> bool) {
         self.shared.rules.send_modify(|rules| {
             let selected = rules.open.iter().filter(|(_, source)| selects(**source));
-            rules.cut.extend(selected.map(|(id, _)| *id));
+            rules.to_reset.extend(selected.map(|(id, _)| *id));
         });
     }
 
@@ -260,13 +264,13 @@
 
 impl Drop for FaultProxy {
     fn drop(&mut self) {
-        self.accept.abort();
+        self.accept_task.abort();
     }
 }
 
 #[derive(Debug)]
 struct Shared {
-    /// Connections wait on this for changes that concern them.
+    /// The current faults. Each connection watches them for changes.
     rules: watch::Sender<Rules>,
     counters: Mutex<BTreeMap<IpAddr, Arc<Counter>>>,
 }
@@ -279,6 +283,7 @@
 
 #[derive(Debug, Default)]
 struct Counter {
+    /// Delivered bytes, indexed by [`Direction`].
     delivered: [AtomicU64; 2],
     connections: AtomicU64,
 }
@@ -298,21 +303,27 @@
 #[derive(Debug)]
 struct Rules {
     forward_to: SocketAddr,
-    all: [Rule; 2],
+    /// Faults for sources without an entry in `by_source`, indexed by [`Direction`].
+    default_rules: [Rule; 2],
+    /// Faults by source and direction.
     by_source: HashMap<(IpAddr, usize), Rule>,
+    /// Whether new connections from all sources are reset.
     refuse: bool,
+    /// Sources whose new connections are reset.
     refused_sources: HashSet<IpAddr>,
-    /// Source of each open connection by its id.
+    /// Source of each open connection, by connection id.
     open: HashMap<u64, IpAddr>,
-    /// Ids of connections to reset.
-    cut: HashSet<u64>,
-    /// Ids of half-open connections; always a subset of `open`.
+    /// Ids of connections that are to be reset.
+    to_reset: HashSet<u64>,
+    /// Ids of frozen connections, always a subset of the keys of `open`.
     frozen: HashSet<u64>,
-    next_connection: u64,
-    last_rule: u64,
+    /// Id of the next connection.
+    next_connection_id: u64,
+    /// Id of the most recently created rule. Zero is the id of the default rules.
+    last_rule_id: u64,
 }
 
-/// Faults with an id, which tells when a byte count has to start again.
+/// Faults with an id. When the id changes, the byte count for `truncate_after` restarts.
 #[derive(Clone, Debug, Default)]
 struct Rule {
     id: u64,
@@ -323,49 +334,52 @@
     fn new(forward_to: SocketAddr) -> Rules {
         Rules {
             forward_to,
-            all: Default::default(),
+            default_rules: Default::default(),
             by_source: HashMap::new(),
             refuse: false,
             refused_sources: HashSet::new(),
             open: HashMap::new(),
-            cut: HashSet::new(),
+            to_reset: HashSet::new(),
             frozen: HashSet::new(),
-            next_connection: 0,
-            last_rule: 0,
+            next_connection_id: 0,
+            last_rule_id: 0,
         }
     }
 
     fn next_rule(&mut self, fault: Fault) -> Rule {
-        self.last_rule += 1;
+        self.last_rule_id += 1;
         Rule {
-            id: self.last_rule,
+            id: self.last_rule_id,
             fault,
         }
     }
 
+    /// Returns the faults that apply to this source and direction.
     fn rule(&self, source: IpAddr, direction: Direction) -> &Rule {
-        let own = self.by_source.get(&(source, direction as usize));
-        own.unwrap_or(&self.all[direction as usize])
+        let for_source = self.by_source.get(&(source, direction as usize));
+        for_source.unwrap_or(&self.default_rules[direction as usize])
     }
 
-    fn close(&mut self, id: u64) {
+    fn remove_connection(&mut self, id: u64) {
         self.open.remove(&id);
-        self.cut.remove(&id);
+        self.to_reset.remove(&id);
         self.frozen.remove(&id);
     }
 }
 
-/// How a connection ends before both of its streams have ended.
+/// How a connection is closed before both of its streams have ended.
 #[derive(Debug, Eq, PartialEq)]
-enum Ending {
+enum EarlyClose {
+    /// Both sides are reset.
     Reset,
+    /// Both sides are closed without a reset.
     Truncate,
 }
 
 async fn accept_loop(listener: TcpListener, shared: Arc<Shared>, stopped: watch::Receiver<()>) {
     loop {
         let Ok((client, from)) = listener.accept().await else {
-            // Accepting fails for a short time when the process is out of file descriptors.
+            // `accept` fails while the process has no free file descriptors; retry after a delay.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -383,10 +397,10 @@
             continue;
         }
         let mut id = 0;
-        // Other connections need not wake up for this.
+        // Returns false because other connections need not be woken for this change.
         shared.rules.send_if_modified(|rules| {
-            id = rules.next_connection;
-            rules.next_connection += 1;
+            id = rules.next_connection_id;
+            rules.next_connection_id += 1;
             rules.open.insert(id, source);
             false
         });
@@ -396,25 +410,26 @@
             tokio::select! {
                 biased;
                 _ = stopped.changed() => {}
-                () = carry(client, source, id, &shared) => {}
+                () = forward(client, source, id, &shared) => {}
             }
             shared.rules.send_if_modified(|rules| {
-                rules.close(id);
+                rules.remove_connection(id);
                 false
             });
         });
     }
 }
 
-async fn carry(mut client: TcpStream, source: IpAddr, id: u64, shared: &Shared) {
+/// Forwards one connection until both of its streams have ended or a fault closes it.
+async fn forward(mut client: TcpStream, source: IpAddr, id: u64, shared: &Shared) {
     let forward_to = shared.rules.borrow().forward_to;
     let Ok(mut server) = connect(source, forward_to).await else {
         let _ = client.set_zero_linger();
         return;
     };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
-    let mut cut = shared.rules.subscribe();
-    let ending = {
+    let mut rules_rx = shared.rules.subscribe();
+    let early_close = {
         let (client_read, client_write) = client.split();
         let (server_read, server_write) = server.split();
         let pipe = |direction| Pipe {
@@ -428,24 +443,26 @@
         let to_client = pipe(Direction::ToClient).run(server_read, client_write);
         tokio::select! {
             biased;
-            _ = cut.wait_for(|rules| rules.cut.contains(&id)) => Some(Ending::Reset),
-            ended = futures::future::try_join(to_server, to_client) => ended.err(),
+            _ = rules_rx.wait_for(|rules| rules.to_reset.contains(&id)) => Some(EarlyClose::Reset),
+            result = futures::future::try_join(to_server, to_client) => result.err(),
         }
     };
-    match ending {
-        Some(Ending::Reset) => {
+    match early_close {
+        Some(EarlyClose::Reset) => {
             let _ = (client.set_zero_linger(), server.set_zero_linger());
         }
-        Some(Ending::Truncate) => {
-            let _ = tokio::join!(close_gently(&mut client), close_gently(&mut server));
+        Some(EarlyClose::Truncate) => {
+            let _ = tokio::join!(close_gracefully(&mut client), close_gracefully(&mut server));
         }
         None => {}
     }
 }
 
+/// Connects to the forward address, from the address `source` if both are IPv4 loopback addresses.
 async fn connect(source: IpAddr, forward_to: SocketAddr) -> io::Result<TcpStream> {
     match (source, forward_to) {
-        // Connections to loopback addresses come from 127.0.0.1 by default.
+        // The kernel selects 127.0.0.1 for connections to loopback addresses, so binding the socket is
+        // unnecessary.
         (IpAddr::V4(Ipv4Addr::LOCALHOST), _) => TcpStream::connect(forward_to).await,
         (IpAddr::V4(from), SocketAddr::V4(to)) if from.is_loopback() && to.ip().is_loopback() => {
             let socket = TcpSocket::new_v4()?;
@@ -456,29 +473,35 @@
     }
 }
 
-/// Closes the write side and reads until the end of the stream.
-async fn close_gently(stream: &mut TcpStream) {
+/// Closes the write side and reads until the end of the stream, for at most [`TRUNCATE_LINGER`].
+async fn close_gracefully(stream: &mut TcpStream) {
     let _ = stream.shutdown().await;
     let mut sink = tokio::io::sink();
     let _ = tokio::time::timeout(TRUNCATE_LINGER, tokio::io::copy(stream, &mut sink)).await;
 }
 
-/// What the reading end of a pipe hands to the writing end.
-enum Item {
+/// What the reading half of a pipe passes to the writing half.
+enum PipeItem {
     Data(Bytes),
+    /// The stream has ended.
     End,
+    /// Reading failed, so the connection is to be reset.
     Reset,
 }
 
-/// What to do with the next item at the writing end.
-enum Verdict {
+/// What the writing half does with the next item.
+enum Action {
+    /// Write it, subject to the faults of this rule.
     Pass(Rule),
+    /// Keep it until the faults change.
     Hold,
+    /// Discard it.
     Drop,
 }
 
 /// One direction of one connection.
 struct Pipe {
+    /// Id of the connection.
     id: u64,
     source: IpAddr,
     direction: Direction,
@@ -487,61 +510,63 @@
 }
 
 impl Pipe {
-    async fn run(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> Result<(), Ending> {
-        let (tx, rx) = mpsc::channel(PARTS_IN_FLIGHT);
+    /// Forwards bytes until the stream ends. An error says how to close the whole connection.
+    async fn run(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> Result<(), EarlyClose> {
+        let (tx, rx) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
         let rules = self.rules.clone();
-        let read = read_parts(from, tx, rules, self.source, self.direction);
-        // An ending at the writing end also ends the reading, which may wait for data.
-        futures::future::try_join(read.map(Ok), self.write_parts(rx, to))
+        let read = read_chunks(from, tx, rules, self.source, self.direction);
+        // An error of the writing half also cancels the reading half, which may be waiting for data.
+        futures::future::try_join(read.map(Ok), self.write_items(rx, to))
             .await
             .map(|_| ())
     }
 
-    async fn write_parts(
+    /// Writes the items that the reading half sends, each at its due time and subject to the faults.
+    async fn write_items(
         mut self,
-        mut rx: mpsc::Receiver<(Instant, Item)>,
+        mut rx: mpsc::Receiver<(Instant, PipeItem)>,
         mut to: WriteHalf<'_>,
-    ) -> Result<(), Ending> {
+    ) -> Result<(), EarlyClose> {
         let mut rule_id = 0;
-        let mut passed = 0;
-        // A write fails when the other side is gone. Bytes are then dropped; the pipe in the other
-        // direction passes on how the other side ended.
-        let mut broken = false;
+        let mut passed_bytes = 0;
+        // A write fails when the receiving side has closed. Further bytes are then dropped; the pipe
+        // in the other direction passes on how that side ended.
+        let mut write_failed = false;
         while let Some((due, item)) = rx.recv().await {
             sleep_until(due).await;
-            let Some(rule) = self.released().await else {
+            let Some(rule) = self.wait_until_allowed().await else {
                 continue;
             };
             if rule.id != rule_id {
-                (rule_id, passed) = (rule.id, 0);
+                (rule_id, passed_bytes) = (rule.id, 0);
             }
             let mut data = match item {
-                Item::Data(_) if broken => continue,
-                Item::Data(data) => data,
-                Item::End => {
+                PipeItem::Data(_) if write_failed => continue,
+                PipeItem::Data(data) => data,
+                PipeItem::End => {
                     let _ = to.shutdown().await;
                     continue;
                 }
-                Item::Reset => return Err(Ending::Reset),
+                PipeItem::Reset => return Err(EarlyClose::Reset),
             };
-            let left = rule
+            let remaining_bytes = rule
                 .fault
                 .truncate_after
-                .map(|limit| limit.saturating_sub(passed));
-            let truncated = left.is_some_and(|left| left <= data.len() as u64);
-            if let Some(left) = left {
-                data.truncate(usize::try_from(left).unwrap_or(usize::MAX));
+                .map(|limit| limit.saturating_sub(passed_bytes));
+            let truncated = remaining_bytes.is_some_and(|remaining| remaining <= data.len() as u64);
+            if let Some(remaining) = remaining_bytes {
+                data.truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
             }
-            broken = self.write(&mut to, &data).await.is_err();
-            passed += data.len() as u64;
+            write_failed = self.write(&mut to, &data).await.is_err();
+            passed_bytes += data.len() as u64;
             if truncated {
-                return Err(Ending::Truncate);
+                return Err(EarlyClose::Truncate);
             }
         }
         Ok(())
     }
 
-    /// Writes `data`, and gives up if the connection freezes while the receiver does not read.
+    /// Writes `data`. Returns early if the connection is frozen while the receiver does not read.
     async fn write(&mut self, to: &mut WriteHalf<'_>, data: &[u8]) -> io::Result<()> {
         let id = self.id;
         tokio::select! {
@@ -553,50 +578,53 @@
         Ok(())
     }
 
-    /// Waits until the next item may pass. Returns `None` if it has to be dropped.
-    async fn released(&mut self) -> Option<Rule> {
+    /// Waits while items are held back, then returns the faults that apply to the next item, or
+    /// `None` if it has to be dropped.
+    async fn wait_until_allowed(&mut self) -> Option<Rule> {
         loop {
-            match self.verdict() {
-                Verdict::Pass(rule) => return Some(rule),
-                Verdict::Drop => return None,
-                Verdict::Hold => self.rules.changed().await.ok()?,
+            match self.next_action() {
+                Action::Pass(rule) => return Some(rule),
+                Action::Drop => return None,
+                Action::Hold => self.rules.changed().await.ok()?,
             }
         }
     }
 
-    fn verdict(&mut self) -> Verdict {
+    /// Decides what to do with the next item under the current faults.
+    fn next_action(&mut self) -> Action {
         let rules = self.rules.borrow_and_update();
         let rule = rules.rule(self.source, self.direction);
         if rules.frozen.contains(&self.id) {
-            Verdict::Drop
+            Action::Drop
         } else if rule.fault.stalled {
-            Verdict::Hold
+            Action::Hold
         } else {
-            Verdict::Pass(rule.clone())
+            Action::Pass(rule.clone())
         }
     }
 }
 
-/// Reads until the stream ends, at the pace of the bandwidth limit.
-async fn read_parts(
+/// Reads chunks until the stream ends, no faster than the bandwidth limit, and sends them to the
+/// writing half with the times at which they are due.
+async fn read_chunks(
     mut from: ReadHalf<'_>,
-    tx: mpsc::Sender<(Instant, Item)>,
+    tx: mpsc::Sender<(Instant, PipeItem)>,
     rules: watch::Receiver<Rules>,
     source: IpAddr,
     direction: Direction,
 ) {
     let mut buf = BytesMut::new();
     loop {
-        buf.reserve(PART_BYTES);
-        let read = from.read_buf(&mut (&mut buf).limit(PART_BYTES)).await;
+        buf.reserve(MAX_CHUNK_BYTES);
+        let read = from.read_buf(&mut (&mut buf).limit(MAX_CHUNK_BYTES)).await;
         let fault = rules.borrow().rule(source, direction).fault.clone();
         let item = match read {
-            Ok(0) => Item::End,
-            Ok(_) => Item::Data(buf.split().freeze()),
-            Err(_) => Item::Reset,
+            Ok(0) => PipeItem::End,
+            Ok(_) => PipeItem::Data(buf.split().freeze()),
+            Err(_) => PipeItem::Reset,
         };
-        let last = !matches!(item, Item::Data(_));
-        if let (Item::Data(data), Some(bandwidth)) = (&item, &fault.bandwidth) {
+        let last = !matches!(item, PipeItem::Data(_));
+        if let (PipeItem::Data(data), Some(bandwidth)) = (&item, &fault.bandwidth) {
             sleep_until(bandwidth.reserve(data.len())).await;
         }
         if tx.send((Instant::now() + fault.delay, item)).await.is_err() || last {
