--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -10,8 +10,8 @@
 //! - `chunked=1`: sends the response without a `content-length`.
 //!
 //! A request that arrives while all slots are busy receives 503 with `x-shed: 1`. While the server
-//! drains, requests receive 503 with `x-drain: 1`. Requests with these two responses did not run.
-//! A request whose deadline expires receives 504 with `x-deadline: 1`; the deadline is the remaining
+//! drains, requests receive 503 with `x-drain: 1`. Requests with these two responses did not run. A
+//! request whose deadline expires receives 504 with `x-deadline: 1`; the deadline is the remaining
 //! time in milliseconds in `x-deadline-ms`. Each response has a header `x-load`, the busy fraction
 //! of the slots.
 //!
@@ -290,8 +290,8 @@
         }
     }
 
-    /// Cuts the next `responses` responses after `bytes` bytes of their body. Responses that are not
-    /// longer than this are sent complete, but also count towards `responses`.
+    /// Cuts the next `responses` responses after `bytes` bytes of their body. Responses that are
+    /// not longer than this are sent complete, but also count towards `responses`.
     pub fn cut_next_responses(&self, responses: u64, bytes: usize) {
         let mut state = self.shared.state();
         state.remaining_cuts = responses;
@@ -320,8 +320,8 @@
         self.shared.state().draining_since = draining.then(Instant::now);
     }
 
-    /// Makes `GET /health` report healthy (`Some(true)`) or failing (`Some(false)`) regardless of the
-    /// actual state. `None` restores the actual state.
+    /// Makes `GET /health` report healthy (`Some(true)`) or failing (`Some(false)`) regardless of
+    /// the actual state. `None` restores the actual state.
     pub fn set_health_override(&self, healthy: Option<bool>) {
         self.shared.state().health_override = healthy;
     }
@@ -809,8 +809,8 @@
 #[derive(Debug)]
 struct Slot {
     shared: Arc<Shared>,
-    /// Whether the request ended regularly. If not, dropping the slot counts as a cancellation by the
-    /// caller.
+    /// Whether the request ended regularly. If not, dropping the slot counts as a cancellation by
+    /// the caller.
     completed: bool,
 }
 
--- a/crates/filbertgrade-standins/src/caller/connection.rs
+++ b/crates/filbertgrade-standins/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! Kept-alive connections of a caller.
+//! Pool of the keep-alive connections of a caller.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,14 +17,16 @@
 
 use crate::common::lock;
 
-/// Whether bytes of a request may have left when sending failed.
+/// Whether bytes of a request may have been sent when sending failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum SendFailure {
+    /// No byte was sent, so the request can be sent to another VM.
     NotSent,
-    Sent,
+    /// Bytes may have been sent, so the request may have run.
+    MaybeSent,
 }
 
-/// Sending end of one connection.
+/// Handle for sending requests on one connection.
 #[derive(Debug)]
 pub(super) enum Sender {
     Http1(http1::SendRequest<Full<Bytes>>),
@@ -32,6 +34,7 @@
 }
 
 impl Sender {
+    /// Waits until the connection accepts a request. Returns false if it is closed.
     async fn ready(&mut self) -> bool {
         match self {
             Sender::Http1(sender) => sender.ready().await.is_ok(),
@@ -46,24 +49,26 @@
         }
     }
 
-    /// Sends a request. Returns the request on an error before its first byte has left.
+    /// Sends a request. An error contains the request if none of its bytes was sent.
     async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Option<Request<Full<Bytes>>>> {
-        let sent = match self {
+        let result = match self {
             Sender::Http1(sender) => sender.try_send_request(req).await,
             Sender::Http2(sender) => sender.try_send_request(req).await,
         };
-        sent.map_err(|mut error| error.take_message())
+        result.map_err(|mut error| error.take_message())
     }
 }
 
-/// Idle HTTP/1.1 connections, or one shared HTTP/2 connection, per address.
+/// Idle HTTP/1.1 connections, or one shared HTTP/2 connection, for each address.
 #[derive(Debug)]
 pub(super) struct Pool {
+    /// Source address of new connections, or `None` to let the system choose.
     source: Option<IpAddr>,
     http2: bool,
+    /// Longest time to open a connection, or to wait until an idle one accepts a request.
     connect_timeout: Duration,
     idle: Mutex<HashMap<SocketAddr, Vec<Sender>>>,
 }
@@ -78,15 +83,16 @@
         }
     }
 
-    /// Sends a request on an idle connection, or on a new one if no idle connection takes it.
+    /// Sends a request on an idle connection, or on a new one if no idle connection accepts it.
+    /// Returns the response with the connection, to be put back once the response body has ended.
     pub(super) async fn send(
         &self,
         address: SocketAddr,
         mut req: Request<Full<Bytes>>,
     ) -> Result<(Response<Incoming>, Sender), SendFailure> {
         loop {
-            let idle = self.take(address);
-            let fresh = idle.is_none();
+            let idle = self.checkout(address);
+            let is_new = idle.is_none();
             let mut sender = match idle {
                 Some(sender) => sender,
                 None => self.connect(address).await.ok_or(SendFailure::NotSent)?,
@@ -94,27 +100,29 @@
             let ready = timeout(self.connect_timeout, sender.ready()).await;
             if ready == Ok(true) {
                 match sender.send(req).await {
-                    Ok(answer) => return Ok((answer, sender)),
-                    Err(None) => return Err(SendFailure::Sent),
+                    Ok(response) => return Ok((response, sender)),
+                    Err(None) => return Err(SendFailure::MaybeSent),
                     Err(Some(unsent)) => req = unsent,
                 }
             }
-            if fresh {
+            if is_new {
                 return Err(SendFailure::NotSent);
             }
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns an HTTP/1.1 connection to the pool unless it is closed. Shared HTTP/2 connections
+    /// are in the pool already.
     pub(super) fn put_back(&self, address: SocketAddr, sender: Sender) {
         if matches!(sender, Sender::Http1(_)) && !sender.is_closed() {
             lock(&self.idle).entry(address).or_default().push(sender);
         }
     }
 
-    /// Opens a new connection for the next HTTP/2 request. Without this, a shared connection that
-    /// went silent would lose every later request.
-    pub(super) fn distrust_shared(&self, address: SocketAddr) {
+    /// Removes the shared HTTP/2 connection, so that the next request opens a new one. Without
+    /// this, every later request would time out on a shared connection that no longer delivers
+    /// data.
+    pub(super) fn discard_shared(&self, address: SocketAddr) {
         if self.http2 {
             lock(&self.idle).remove(&address);
         }
@@ -125,7 +133,8 @@
         lock(&self.idle).clear();
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    /// Returns an idle or shared connection to the address, if there is an open one.
+    fn checkout(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = lock(&self.idle);
         let senders = idle.get_mut(&address)?;
         senders.retain(|sender| !sender.is_closed());
@@ -135,6 +144,7 @@
         senders.pop()
     }
 
+    /// Opens a connection. Returns `None` on an error or a timeout.
     async fn connect(&self, address: SocketAddr) -> Option<Sender> {
         timeout(self.connect_timeout, self.handshake(address))
             .await
--- a/crates/filbertgrade-standins/src/caller/mod.rs
+++ b/crates/filbertgrade-standins/src/caller/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in for callers: one [`Caller`], and a [`Load`] of many.
+//! Stand-in for callers: a single [`Caller`], and a [`Load`] generator with many callers.
 //!
-//! A caller asks any VM for `GET /v1/lookup?client=IP`, keeps the answer for its time to live, and
-//! sends its requests to the first VM of the answer that accepts a connection. It sends a request
-//! again only if no byte of it has left.
+//! A caller sends `GET /v1/lookup?client=IP` to any VM, caches the response for its time to live,
+//! and sends its requests to the first VM in the response that accepts a connection. It retries a
+//! request at the next VM only if no byte of the request was sent.
 
 mod connection;
 mod load;
@@ -33,12 +33,12 @@
 use crate::backend::{DEFAULT_RESPONSE_BYTES, expected_response};
 use crate::common::lock;
 
-/// Secret that a caller presents. Its `Debug` form is redacted.
+/// API key with which a caller authenticates. Its `Debug` output is redacted.
 #[derive(Clone, Eq, PartialEq)]
 pub struct Key(String);
 
 impl Key {
-    /// Wraps a secret.
+    /// Creates a key from its secret text. The text must consist of visible ASCII characters.
     #[must_use]
     pub fn new(secret: impl Into<String>) -> Key {
         Key(secret.into())
@@ -51,35 +51,37 @@
     }
 }
 
-/// How a caller finds the VM for a request.
+/// How a caller selects the VM for a request.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// Sends each request to one of these VMs at random, without look-ups.
+    /// Tries these VMs in random order, without look-ups.
     Vms(Vec<SocketAddr>),
-    /// Asks one of these VMs at random for a look-up when no cached answer is valid.
+    /// Looks up the VMs for requests. When the cached look-up has expired, these VMs are queried in
+    /// random order.
     Lookup(Vec<SocketAddr>),
 }
 
 /// Settings of a [`Caller`].
 #[derive(Clone, Debug)]
 pub struct CallerConfig {
-    /// How VMs are found. Default a look-up at no VM, with which every request is lost unsent.
+    /// How VMs are selected. The default is a look-up without VMs to query, with which every
+    /// request ends as `Outcome::Lost { sent: false }`.
     pub route: Route,
-    /// Key of the caller's team. Default none, for routes open to all.
+    /// API key of the caller's team. Default none, for routes that need no key.
     pub key: Option<Key>,
-    /// Address in look-ups. Default 127.0.0.1.
+    /// Client address that is sent in look-ups. Default 127.0.0.1.
     pub client_ip: IpAddr,
-    /// Address that connections come from. Default chosen by the system.
+    /// Source address of the connections. By default the system chooses it.
     pub source: Option<IpAddr>,
-    /// Speaks HTTP/2 over one shared connection per VM instead of HTTP/1.1. Default off.
+    /// Uses HTTP/2 over one shared connection per VM instead of HTTP/1.1. Default off.
     pub http2: bool,
     /// Longest time to open a connection before the next VM is tried. Default 500 ms.
     pub connect_timeout: Duration,
-    /// Longest time of a look-up at one VM before the next VM is asked. Default 500 ms.
+    /// Longest time of a look-up at one VM before the next VM is queried. Default 500 ms.
     pub lookup_timeout: Duration,
-    /// Time after the deadline until the caller gives up. With a time near zero, refusals at the
-    /// deadline count as lost. Default 1 s.
-    pub patience: Duration,
+    /// Time after the deadline for which the caller still waits for a response. With a value near
+    /// zero, refusals that are sent at the deadline arrive too late and count as lost. Default 1 s.
+    pub response_grace: Duration,
     /// Seed of the random choices. Default 1.
     pub seed: u64,
 }
@@ -94,7 +96,7 @@
             http2: false,
             connect_timeout: Duration::from_millis(500),
             lookup_timeout: Duration::from_millis(500),
-            patience: Duration::from_secs(1),
+            response_grace: Duration::from_secs(1),
             seed: 1,
         }
     }
@@ -103,7 +105,8 @@
 /// One request of a caller.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// Value of `x-request-id`. It has to be unique among the requests whose records are joined.
+    /// Value of `x-request-id`. It has to be unique among the requests that are compared with the
+    /// records of the same backend servers.
     pub request_id: String,
     /// HTTP method.
     pub method: Method,
@@ -114,16 +117,17 @@
     pub query: String,
     /// Request body. Default empty.
     pub body: Bytes,
-    /// Size of the answer in bytes. Default 64.
-    pub answer_bytes: usize,
-    /// Time within which the answer is wanted, sent as `x-deadline-ms`. Default 2 s.
+    /// Requested size of the response body in bytes. Default 64.
+    pub response_bytes: usize,
+    /// Time until the deadline, counted from the start of the call. The remaining time is sent as
+    /// `x-deadline-ms`. Default 2 s.
     pub deadline: Duration,
     /// Value of `idempotency-key`. Default none.
     pub idempotency_key: Option<String>,
 }
 
 impl CallRequest {
-    /// Creates a request with the default body, answer size and deadline.
+    /// Creates a request with an empty body and the default response size and deadline.
     #[must_use]
     pub fn new(method: Method, path: &str, request_id: &str) -> CallRequest {
         CallRequest {
@@ -132,35 +136,37 @@
             path: path.to_owned(),
             query: String::new(),
             body: Bytes::new(),
-            answer_bytes: DEFAULT_RESPONSE_BYTES,
+            response_bytes: DEFAULT_RESPONSE_BYTES,
             deadline: Duration::from_secs(2),
             idempotency_key: None,
         }
     }
 }
 
-/// How a request ended for its caller.
+/// How a request ended, as its caller observed it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The whole answer to this request arrived.
-    Whole,
-    /// An answer ended as if it were complete, but it is not the answer to this request.
+    /// The complete response to this request arrived.
+    Complete,
+    /// A response ended without an error, but its body is not the expected one for this request.
     WrongAnswer,
-    /// The answer began, and then it broke off or did not end in time.
+    /// The response headers arrived, but the body failed or did not end in time.
     Cut,
-    /// The request was refused.
+    /// The response has a status other than 200.
     Refused {
         /// HTTP status.
         status: u16,
-        /// Header `filbertgrade-cause`, or `x-shed`, `x-drain` or `status_<N>` without it.
+        /// Value of the header `filbertgrade-cause`. Without it, the name of the header `x-shed` or
+        /// `x-drain`, whichever is present, or else `status_<N>`.
         cause: String,
-        /// Whether the refusal says that the request did not run. Without the header
-        /// `filbertgrade-outcome`, this holds for `x-shed` and `x-drain` only.
+        /// Whether the refusal states that the request did not run: the header
+        /// `filbertgrade-outcome` is `not_run`, or it is absent and `x-shed` or `x-drain` is
+        /// present.
         not_run: bool,
     },
-    /// No answer arrived.
+    /// No response arrived.
     Lost {
-        /// Whether bytes of the request may have left. If not, no VM could be reached.
+        /// Whether bytes of the request may have been sent. If not, no VM could be reached.
         sent: bool,
     },
 }
@@ -170,27 +176,27 @@
 pub struct CallResult {
     /// How the request ended.
     pub outcome: Outcome,
-    /// Time from the call to its end, including look-ups and connecting.
+    /// Time from the start to the end of the call, including look-ups and connecting.
     pub latency: Duration,
-    /// The last VM that was tried.
+    /// Address of the last VM that was tried, or `None` if there was no VM to try.
     pub vm: Option<SocketAddr>,
 }
 
-/// Answer of a look-up.
+/// Response to a look-up.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LookupAnswer {
-    /// Time in milliseconds for which the answer may be used.
+pub struct LookupResponse {
+    /// Time in milliseconds for which the response may be cached.
     pub ttl_ms: u64,
     /// VMs in order of preference.
     pub vms: Vec<LookupVm>,
 }
 
-/// One VM of a look-up answer.
+/// One VM in a look-up response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookupVm {
     /// Name of the VM.
     pub vm: String,
-    /// Address for requests.
+    /// Address of the VM for requests.
     pub address: SocketAddr,
     /// Region of the VM.
     pub region: String,
@@ -207,12 +213,13 @@
     cfg: CallerConfig,
     pool: Pool,
     rng: Mutex<StdRng>,
-    /// The lock is held during a look-up, so that calls at the same time share one.
-    lookup: tokio::sync::Mutex<Option<(Instant, LookupAnswer)>>,
+    /// Cached look-up and its expiry time. The lock is held during a look-up, so that concurrent
+    /// calls share one.
+    lookup: tokio::sync::Mutex<Option<(Instant, LookupResponse)>>,
 }
 
 impl Caller {
-    /// Creates a caller. It connects when it needs to.
+    /// Creates a caller. It opens connections when calls need them.
     #[must_use]
     pub fn new(cfg: CallerConfig) -> Caller {
         let pool = Pool::new(cfg.source, cfg.http2, cfg.connect_timeout);
@@ -230,69 +237,72 @@
 
     /// Sends one request and classifies how it ended.
     pub async fn call(&self, request: &CallRequest) -> CallResult {
-        let began = Instant::now();
+        let started = Instant::now();
         let mut vm = None;
-        let outcome = self.send(request, began, &mut vm).await;
+        let outcome = self.send(request, started, &mut vm).await;
         CallResult {
             outcome,
-            latency: began.elapsed(),
+            latency: started.elapsed(),
             vm,
         }
     }
 
-    /// Returns the cached look-up if it is valid, or asks the VMs in random order. If none
-    /// answers, returns the expired look-up, and `None` if there is none.
-    pub async fn lookup(&self) -> Option<LookupAnswer> {
+    /// Returns the cached look-up if it has not expired; otherwise queries the VMs in random order.
+    /// If none of them responds, returns the expired look-up, or `None` if there is none. Also
+    /// returns `None` for [`Route::Vms`].
+    pub async fn lookup(&self) -> Option<LookupResponse> {
         let Route::Lookup(vms) = &self.shared.cfg.route else {
             return None;
         };
         let mut cached = self.shared.lookup.lock().await;
-        if let Some((expires, answer)) = &*cached
+        if let Some((expires, response)) = &*cached
             && Instant::now() < *expires
         {
-            return Some(answer.clone());
+            return Some(response.clone());
         }
         for vm in self.shuffled(vms) {
-            // The time to live counts from the question, because the answer may be delayed.
-            let asked = Instant::now();
-            let asking = timeout(self.shared.cfg.lookup_timeout, self.ask(vm)).await;
-            if let Ok(Some(answer)) = asking {
-                let expires = asked + Duration::from_millis(answer.ttl_ms);
-                *cached = Some((expires, answer.clone()));
-                return Some(answer);
+            // The time to live is counted from the request, because the response may be delayed.
+            let queried_at = Instant::now();
+            let querying = timeout(self.shared.cfg.lookup_timeout, self.query_lookup(vm)).await;
+            if let Ok(Some(response)) = querying {
+                let expires = queried_at + Duration::from_millis(response.ttl_ms);
+                *cached = Some((expires, response.clone()));
+                return Some(response);
             }
         }
-        cached.as_ref().map(|(_, answer)| answer.clone())
+        cached.as_ref().map(|(_, response)| response.clone())
     }
 
-    /// Closes the idle connections and forgets the cached look-up.
+    /// Closes the idle connections and discards the cached look-up.
     pub async fn reset(&self) {
         self.shared.pool.clear();
         *self.shared.lookup.lock().await = None;
     }
 
+    /// Sends a request to the candidates in turn until one accepts it. Sets `vm` to the last
+    /// address that was tried.
     async fn send(
         &self,
         request: &CallRequest,
-        began: Instant,
+        started: Instant,
         vm: &mut Option<SocketAddr>,
     ) -> Outcome {
-        let give_up = began + request.deadline + self.shared.cfg.patience;
+        let give_up_at = started + request.deadline + self.shared.cfg.response_grace;
         for address in self.candidates().await {
-            if Instant::now() >= give_up {
+            if Instant::now() >= give_up_at {
                 break;
             }
             *vm = Some(address);
-            let req = self.http_request(request, began, address);
+            let req = self.http_request(request, started, address);
             let sending = self.shared.pool.send(address, req);
-            match timeout_at(give_up, sending).await {
-                Err(_) | Ok(Err(SendFailure::Sent)) => {
-                    self.shared.pool.distrust_shared(address);
+            match timeout_at(give_up_at, sending).await {
+                Err(_) | Ok(Err(SendFailure::MaybeSent)) => {
+                    self.shared.pool.discard_shared(address);
                     return Outcome::Lost { sent: true };
                 }
                 Ok(Err(SendFailure::NotSent)) => {}
-                Ok(Ok((answer, sender))) => {
-                    let (outcome, reusable) = read_answer(request, answer, give_up).await;
+                Ok(Ok((response, sender))) => {
+                    let (outcome, reusable) = read_response(request, response, give_up_at).await;
                     if reusable {
                         self.shared.pool.put_back(address, sender);
                     }
@@ -303,6 +313,7 @@
         Outcome::Lost { sent: false }
     }
 
+    /// Returns the addresses of the VMs to try, in order.
     async fn candidates(&self) -> Vec<SocketAddr> {
         match &self.shared.cfg.route {
             Route::Vms(vms) => self.shuffled(vms),
@@ -310,7 +321,7 @@
                 let vms = self
                     .lookup()
                     .await
-                    .map(|answer| answer.vms)
+                    .map(|response| response.vms)
                     .unwrap_or_default();
                 vms.into_iter().map(|vm| vm.address).collect()
             }
@@ -323,20 +334,22 @@
         vms
     }
 
-    async fn ask(&self, vm: SocketAddr) -> Option<LookupAnswer> {
+    /// Queries one VM for a look-up. Returns `None` if there is no valid response.
+    async fn query_lookup(&self, vm: SocketAddr) -> Option<LookupResponse> {
         let path = format!("/v1/lookup?client={}", self.shared.cfg.client_ip);
         let req = Request::get(self.uri(vm, &path)).header(HOST, vm.to_string());
         let req = req.body(Full::default()).ok()?;
-        let (answer, sender) = self.shared.pool.send(vm, req).await.ok()?;
-        if answer.status() != StatusCode::OK {
+        let (response, sender) = self.shared.pool.send(vm, req).await.ok()?;
+        if response.status() != StatusCode::OK {
             return None;
         }
-        let body = answer.into_body().collect().await.ok()?.to_bytes();
+        let body = response.into_body().collect().await.ok()?.to_bytes();
         self.shared.pool.put_back(vm, sender);
         serde_json::from_slice(&body).ok()
     }
 
-    /// Returns the absolute form for HTTP/2, which carries the authority in the URI.
+    /// Returns the URI of a request to this VM: in absolute form for HTTP/2, which takes the
+    /// authority from the URI.
     fn uri(&self, vm: SocketAddr, path: &str) -> String {
         if self.shared.cfg.http2 {
             format!("http://{vm}{path}")
@@ -348,24 +361,24 @@
     fn http_request(
         &self,
         request: &CallRequest,
-        began: Instant,
+        started: Instant,
         vm: SocketAddr,
     ) -> Request<Full<Bytes>> {
         let CallRequest {
             path,
             query,
-            answer_bytes,
+            response_bytes,
             ..
         } = request;
         let separator = if query.is_empty() { "" } else { "&" };
-        let path = format!("{path}?bytes={answer_bytes}{separator}{query}");
-        let left = request.deadline.saturating_sub(began.elapsed());
-        let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+        let path = format!("{path}?bytes={response_bytes}{separator}{query}");
+        let remaining = request.deadline.saturating_sub(started.elapsed());
+        let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
         let mut req = Request::builder()
             .method(&request.method)
             .uri(self.uri(vm, &path))
             .header("x-request-id", &request.request_id)
-            .header("x-deadline-ms", left_ms);
+            .header("x-deadline-ms", remaining_ms);
         if !self.shared.cfg.http2 {
             req = req.header(HOST, vm.to_string());
         }
@@ -383,14 +396,14 @@
     }
 }
 
-/// Returns the outcome and whether the connection can carry another request.
-async fn read_answer(
+/// Reads a response and returns the outcome and whether the connection can be used again.
+async fn read_response(
     request: &CallRequest,
-    answer: Response<Incoming>,
-    give_up: Instant,
+    response: Response<Incoming>,
+    give_up_at: Instant,
 ) -> (Outcome, bool) {
-    let (parts, body) = answer.into_parts();
-    let body = timeout_at(give_up, body.collect()).await;
+    let (parts, body) = response.into_parts();
+    let body = timeout_at(give_up_at, body.collect()).await;
     let body = body
         .ok()
         .and_then(Result::ok)
@@ -405,11 +418,11 @@
             let CallRequest {
                 request_id,
                 body: sent,
-                answer_bytes,
+                response_bytes,
                 ..
             } = request;
-            if body == expected_response(request_id, sent, *answer_bytes) {
-                Outcome::Whole
+            if body == expected_response(request_id, sent, *response_bytes) {
+                Outcome::Complete
             } else {
                 Outcome::WrongAnswer
             }
@@ -418,24 +431,25 @@
     (outcome, reusable)
 }
 
+/// Returns the outcome for a response with a status other than 200.
 fn refusal(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    let mark = ["x-shed", "x-drain"]
+    let flag_header = ["x-shed", "x-drain"]
         .into_iter()
-        .find(|mark| headers.contains_key(*mark));
+        .find(|flag_header| headers.contains_key(*flag_header));
     let status = status.as_u16();
-    let cause = text("filbertgrade-cause").or(mark);
+    let cause = text("filbertgrade-cause").or(flag_header);
     Outcome::Refused {
         status,
         cause: cause.map_or_else(|| format!("status_{status}"), str::to_owned),
         not_run: match text("filbertgrade-outcome") {
             Some(outcome) => outcome == "not_run",
-            None => mark.is_some(),
+            None => flag_header.is_some(),
         },
     }
 }
 
-/// Returns a time between two events of a Poisson process.
+/// Returns a random time between two events of a Poisson process.
 fn exponential(rng: &mut StdRng, events_per_second: f64) -> Duration {
     let unit: f64 = rng.random();
     Duration::from_secs_f64((-(1.0 - unit).ln() / events_per_second).min(1e6))
--- a/crates/filbertgrade-standins/src/platform.rs
+++ b/crates/filbertgrade-standins/src/platform.rs
@@ -156,8 +156,8 @@
         lock(&self.shared.faults).vm_lag = lag;
     }
 
-    /// Adds or replaces an entry of the VM list after the VM lag. Changes become visible in the order
-    /// of the calls. Must be called within a tokio runtime.
+    /// Adds or replaces an entry of the VM list after the VM lag. Changes become visible in the
+    /// order of the calls. Must be called within a tokio runtime.
     pub fn put_vm(&self, entry: &VmEntry) {
         let value = serde_json::to_vec(entry).expect("a VM entry is plain strings");
         self.schedule_vm_change(format!("vms/{}", entry.name), Some(value.into()));
@@ -174,8 +174,8 @@
         self.shared.down.send_replace(down);
     }
 
-    /// While `unresponsive` is set, accepts calls without ever responding to them. Such a call has no
-    /// effect on the store, and it remains without a response after the fault is cleared.
+    /// While `unresponsive` is set, accepts calls without ever responding to them. Such a call has
+    /// no effect on the store, and it remains without a response after the fault is cleared.
     pub fn set_unresponsive(&self, unresponsive: bool) {
         self.shared
             .unresponsive
@@ -193,9 +193,9 @@
         lock(&self.shared.faults).remaining_drops = writes;
     }
 
-    /// Serves reads, lists and watches from the state `revisions` revisions ago, as a lagging replica
-    /// does. Conditions of writes are still checked against the current revision. The state is never
-    /// older than the retained history.
+    /// Serves reads, lists and watches from the state `revisions` revisions ago, as a lagging
+    /// replica does. Conditions of writes are still checked against the current revision. The state
+    /// is never older than the retained history.
     pub fn set_stale_reads(&self, revisions: u64) {
         lock(&self.shared.faults).revisions_behind = revisions;
         self.shared.notify_watches();
@@ -362,8 +362,8 @@
         self.revision
     }
 
-    /// Removes the oldest changes until `log` is within its limit, and the values that can no longer
-    /// be read.
+    /// Removes the oldest changes until `log` is within its limit, and the values that can no
+    /// longer be read.
     fn trim(&mut self) {
         while self.log.len() > self.max_log_len {
             let Some((revision, name)) = self.log.pop_front() else {
@@ -421,8 +421,8 @@
             .collect()
     }
 
-    /// Returns the newest change of each matching object in the revisions `(after, up_to]`, in order
-    /// of revision.
+    /// Returns the newest change of each matching object in the revisions `(after, up_to]`, in
+    /// order of revision.
     fn changes(&self, prefixes: &[String], after: u64, up_to: u64) -> Vec<ObjectJson> {
         let start = self.log.partition_point(|(revision, _)| *revision <= after);
         let changes = self
--- a/crates/filbertgrade-standins/src/proxy.rs
+++ b/crates/filbertgrade-standins/src/proxy.rs
@@ -57,8 +57,8 @@
     pub bandwidth: Option<Bandwidth>,
     /// Holds all bytes and the end of the stream back until the fault is cleared. Default off.
     pub stalled: bool,
-    /// Closes a connection in both directions, without a reset, once this number of bytes has passed
-    /// in this direction since the fault was set. Default no limit.
+    /// Closes a connection in both directions, without a reset, once this number of bytes has
+    /// passed in this direction since the fault was set. Default no limit.
     pub truncate_after: Option<u64>,
 }
 
@@ -158,8 +158,8 @@
         });
     }
 
-    /// Sets the faults of one direction for connections from `source`. They take precedence over the
-    /// faults for all sources.
+    /// Sets the faults of one direction for connections from `source`. They take precedence over
+    /// the faults for all sources.
     pub fn set_fault_from(&self, source: IpAddr, direction: Direction, fault: Fault) {
         self.shared.rules.send_modify(|rules| {
             let rule = rules.next_rule(fault);
@@ -203,9 +203,9 @@
         self.reset_where(|from| from == source);
     }
 
-    /// Freezes every open connection for the rest of its life: the proxy reads and drops all bytes and does
-    /// not pass on the end of the stream, as on a half-open connection. Connections opened later are
-    /// not affected.
+    /// Freezes every open connection for the rest of its life: the proxy reads and drops all bytes
+    /// and does not pass on the end of the stream, as on a half-open connection. Connections opened
+    /// later are not affected.
     pub fn freeze_open(&self) {
         self.freeze_where(|_| true);
     }
@@ -461,8 +461,8 @@
 /// Connects to the forward address, from the address `source` if both are IPv4 loopback addresses.
 async fn connect(source: IpAddr, forward_to: SocketAddr) -> io::Result<TcpStream> {
     match (source, forward_to) {
-        // The kernel selects 127.0.0.1 for connections to loopback addresses, so binding the socket is
-        // unnecessary.
+        // The kernel selects 127.0.0.1 for connections to loopback addresses, so binding the socket
+        // is unnecessary.
         (IpAddr::V4(Ipv4Addr::LOCALHOST), _) => TcpStream::connect(forward_to).await,
         (IpAddr::V4(from), SocketAddr::V4(to)) if from.is_loopback() && to.ip().is_loopback() => {
             let socket = TcpSocket::new_v4()?;
@@ -515,13 +515,15 @@
         let (tx, rx) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
         let rules = self.rules.clone();
         let read = read_chunks(from, tx, rules, self.source, self.direction);
-        // An error of the writing half also cancels the reading half, which may be waiting for data.
+        // An error of the writing half also cancels the reading half, which may be waiting for
+        // data.
         futures::future::try_join(read.map(Ok), self.write_items(rx, to))
             .await
             .map(|_| ())
     }
 
-    /// Writes the items that the reading half sends, each at its due time and subject to the faults.
+    /// Writes the items that the reading half sends, each at its due time and subject to the
+    /// faults.
     async fn write_items(
         mut self,
         mut rx: mpsc::Receiver<(Instant, PipeItem)>,
@@ -529,8 +531,8 @@
     ) -> Result<(), EarlyClose> {
         let mut rule_id = 0;
         let mut passed_bytes = 0;
-        // A write fails when the receiving side has closed. Further bytes are then dropped; the pipe
-        // in the other direction passes on how that side ended.
+        // A write fails when the receiving side has closed. Further bytes are then dropped; the
+        // pipe in the other direction passes on how that side ended.
         let mut write_failed = false;
         while let Some((due, item)) = rx.recv().await {
             sleep_until(due).await;
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -59,11 +59,11 @@
 }
 
 fn caller(route: Route, http2: bool) -> Caller {
-    let patience = Duration::from_millis(50);
+    let response_grace = Duration::from_millis(50);
     Caller::new(CallerConfig {
         route,
         http2,
-        patience,
+        response_grace,
         ..CallerConfig::default()
     })
 }
@@ -71,7 +71,7 @@
 fn request(id: &str) -> CallRequest {
     CallRequest {
         body: Bytes::from_static(b"order"),
-        answer_bytes: 1_000,
+        response_bytes: 1_000,
         deadline: Duration::from_millis(250),
         ..CallRequest::new(Method::POST, "/snijbank/order", id)
     }
@@ -87,7 +87,7 @@
 
 /// Guards against endings that are classified as another one, over both versions of HTTP.
 #[rstest]
-#[case::whole(|_: &BackendServer| (), Outcome::Whole)]
+#[case::whole(|_: &BackendServer| (), Outcome::Complete)]
 #[case::cut(|server: &BackendServer| server.cut_next_responses(1, 500), Outcome::Cut)]
 #[case::swallowed(|server: &BackendServer| server.withhold_next_responses(1), Outcome::Lost { sent: true })]
 #[case::closed(|server: &BackendServer| server.close_next_unread(1), Outcome::Lost { sent: true })]
@@ -104,13 +104,16 @@
     // The fault meets a kept-alive connection.
     assert_eq!(
         caller.call(&request("before")).await.outcome,
-        Outcome::Whole
+        Outcome::Complete
     );
     assert_eq!(server.connections(), 1);
     fault(&server);
     assert_eq!(caller.call(&request("fault")).await.outcome, outcome);
     server.set_draining(false);
-    assert_eq!(caller.call(&request("after")).await.outcome, Outcome::Whole);
+    assert_eq!(
+        caller.call(&request("after")).await.outcome,
+        Outcome::Complete
+    );
 }
 
 /// Guards against foreign or silently truncated answers that pass, and against misread refusals.
@@ -177,7 +180,7 @@
         let result = caller.call(&request(id)).await;
         assert_eq!(
             (result.outcome, result.vm),
-            (Outcome::Whole, Some(server.addr()))
+            (Outcome::Complete, Some(server.addr()))
         );
     }
     assert_eq!(count.load(Ordering::SeqCst), 1);
@@ -241,13 +244,13 @@
     let report = LoadReport {
         teams: indexmap::IndexMap::new(),
         calls: vec![
-            call("twice", false, Outcome::Whole),
-            call("again", true, Outcome::Whole),
+            call("twice", false, Outcome::Complete),
+            call("again", true, Outcome::Complete),
             call("false", false, refused(503, "x", true)),
             call("true", false, refused(503, "x", true)),
             call("unknown", false, refused(503, "x", false)),
-            call("invented", false, Outcome::Whole),
-            call("foreign", false, Outcome::Whole),
+            call("invented", false, Outcome::Complete),
+            call("foreign", false, Outcome::Complete),
         ],
         lost: 0,
         lost_unsent: 0,
