--- a/crates/filbertgrade-standins/tests/backend.rs
+++ b/crates/filbertgrade-standins/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server stand-in serves, refuses and records as its documentation says.
+//! Tests of the backend server stand-in: responses, refusals, injected faults and records.
 
 mod support;
 
@@ -8,31 +8,35 @@
     BackendConfig, BackendServer, ServiceTime, expected_response,
 };
 use rstest::rstest;
-use support::{ANY, call};
+use support::{FREE_PORT, send};
 
-const SHORT: Duration = Duration::from_millis(150);
+/// Wait after which the server has processed an event such as a closed connection; also the unit of
+/// the simulated load lag.
+const SHORT_WAIT: Duration = Duration::from_millis(150);
 
-async fn backend(slots: usize) -> BackendServer {
+async fn start_backend(slots: usize) -> BackendServer {
     let service_time = ServiceTime::Fixed(Duration::ZERO);
     let cfg = BackendConfig {
         slots,
         service_time,
         ..BackendConfig::default()
     };
-    BackendServer::bind(ANY, cfg).await.expect("a free port")
+    BackendServer::bind(FREE_PORT, cfg)
+        .await
+        .expect("a free port")
 }
 
-/// Guards against an answer formula that differs between the server and the verification, at the
-/// borders of words, of the hexadecimal part and of streamed parts.
+/// Guards against response bodies that differ from the expected ones, with sizes around the
+/// boundaries of words, of the hexadecimal digest and of streamed frames.
 #[rstest]
 #[tokio::test]
-async fn answer_matches(
+async fn response_body_matches_expected_response(
     #[values(0, 1, 63, 64, 65, 79, 16 * 1024, 16 * 1024 + 3, 300_001)] bytes: usize,
-    #[values("", "&chunked=1")] more: &str,
+    #[values("", "&chunked=1")] option: &str,
 ) {
-    let server = backend(1).await;
-    let path = format!("/maatboek/x?bytes={bytes}{more}");
-    let answer = call(
+    let server = start_backend(1).await;
+    let path = format!("/maatboek/x?bytes={bytes}{option}");
+    let response = send(
         server.addr(),
         "PUT",
         &path,
@@ -40,9 +44,9 @@
         "scan",
     )
     .await;
-    let answer = answer.unwrap();
-    assert_eq!(answer.status(), 200);
-    assert_eq!(answer.body(), &expected_response("r1", b"scan", bytes));
+    let response = response.unwrap();
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.body(), &expected_response("r1", b"scan", bytes));
     assert_ne!(
         expected_response("r2", b"scan", 64),
         expected_response("r1", b"scan", 64)
@@ -50,12 +54,13 @@
     assert_eq!((server.run_count("r1"), server.busy()), (1, 0));
 }
 
-/// Guards against requests that run above the slots or that hold a slot after the caller left.
+/// Guards against requests that run although all slots are busy, and against slots that stay busy
+/// after the caller has cancelled.
 #[tokio::test]
-async fn slots_and_cancellation() {
-    let server = backend(1).await;
+async fn requests_over_slots_are_shed_and_cancellation_frees_slots() {
+    let server = start_backend(1).await;
     let addr = server.addr();
-    let long = call(
+    let long = send(
         addr,
         "GET",
         "/s/x?service_ms=5000",
@@ -66,20 +71,20 @@
         while server.busy() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        call(addr, "GET", "/s/x", &[("x-request-id", "second")], "")
+        send(addr, "GET", "/s/x", &[("x-request-id", "second")], "")
             .await
             .unwrap()
     };
     tokio::select! {
-        _ = long => panic!("the long request ended"),
-        answer = second => {
-            assert_eq!(answer.status(), 503);
-            assert_eq!(answer.headers()["x-shed"], "1");
-            assert_eq!(answer.headers()["x-load"], "1.000");
+        _ = long => panic!("the long request ended before it was cancelled"),
+        response = second => {
+            assert_eq!(response.status(), 503);
+            assert_eq!(response.headers()["x-shed"], "1");
+            assert_eq!(response.headers()["x-load"], "1.000");
         }
     }
-    // Dropping `long` closes its connection.
-    tokio::time::sleep(SHORT).await;
+    // Dropping the future `long` has closed its connection.
+    tokio::time::sleep(SHORT_WAIT).await;
     let records = server.records();
     assert_eq!(
         (
@@ -99,16 +104,16 @@
     );
 }
 
-/// Guards against draining servers and expired requests that run work, and against lies that do
-/// not reach the health and load reports.
+/// Guards against requests that run while the server drains, against expired deadlines that are
+/// ignored, and against health and load reports that ignore the overrides.
 #[tokio::test]
-async fn refusals_and_lies() {
-    let server = backend(2).await;
+async fn refused_requests_do_not_run_and_reports_can_be_overridden() {
+    let server = start_backend(2).await;
     let addr = server.addr();
     let get = async |path: &str, headers: &[(&str, &str)]| {
-        call(addr, "GET", path, headers, "")
+        send(addr, "GET", path, headers, "")
             .await
-            .expect("an answer")
+            .expect("a response")
     };
     let late = get("/s/x?service_ms=5000", &[("x-deadline-ms", "20")]).await;
     assert_eq!(
@@ -138,42 +143,43 @@
     assert_eq!(server.run_count("d"), 0);
 }
 
-/// Guards against a load lag that reports the present.
+/// Guards against load reports that contain the current load in spite of a lag.
 #[tokio::test]
-async fn load_lags() {
-    let server = backend(1).await;
+async fn load_report_lags() {
+    let server = start_backend(1).await;
     let addr = server.addr();
-    server.set_load_lag(SHORT * 2);
+    server.set_load_lag(SHORT_WAIT * 2);
     let work =
-        tokio::spawn(async move { call(addr, "GET", "/s/x?service_ms=2000", &[], "").await });
+        tokio::spawn(async move { send(addr, "GET", "/s/x?service_ms=2000", &[], "").await });
     while server.busy() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let load = async || {
-        call(addr, "GET", "/load", &[], "")
+        send(addr, "GET", "/load", &[], "")
             .await
-            .expect("an answer")
+            .expect("a response")
             .into_body()
     };
     assert_eq!(&load().await[..], br#"{"load":0.000,"busy":0,"slots":1}"#);
-    tokio::time::sleep(SHORT * 3).await;
+    tokio::time::sleep(SHORT_WAIT * 3).await;
     assert_eq!(&load().await[..], br#"{"load":1.000,"busy":1,"slots":1}"#);
     work.abort();
 }
 
-/// Guards against faults that run work they must not run, or that hide work that ran.
+/// Guards against faults that run a request they must not run, and against runs that are not
+/// recorded because of a fault.
 #[tokio::test]
-async fn answer_faults() {
-    let server = backend(1).await;
+async fn records_contain_exactly_the_requests_that_ran() {
+    let server = start_backend(1).await;
     let addr = server.addr();
     server.close_next_unread(1);
     assert!(
-        call(addr, "POST", "/s/x", &[("x-request-id", "unread")], "order")
+        send(addr, "POST", "/s/x", &[("x-request-id", "unread")], "order")
             .await
             .is_none()
     );
     server.cut_next_responses(1, 100);
-    let cut = call(
+    let cut = send(
         addr,
         "POST",
         "/s/x?bytes=200",
@@ -183,18 +189,24 @@
     .await;
     assert!(cut.is_none());
     server.withhold_next_responses(1);
-    let swallowed = call(
+    let withheld = send(
         addr,
         "POST",
         "/s/x",
-        &[("x-request-id", "swallowed")],
+        &[("x-request-id", "withheld")],
         "order",
     );
-    assert!(tokio::time::timeout(SHORT, swallowed).await.is_err());
+    assert!(tokio::time::timeout(SHORT_WAIT, withheld).await.is_err());
     assert!(
-        call(addr, "POST", "/s/x", &[("x-request-id", "whole")], "order")
-            .await
-            .is_some()
+        send(
+            addr,
+            "POST",
+            "/s/x",
+            &[("x-request-id", "complete")],
+            "order"
+        )
+        .await
+        .is_some()
     );
     let records = server.records();
     let ran: Vec<_> = records
@@ -202,30 +214,31 @@
         .iter()
         .map(|run| run.request_id.as_str())
         .collect();
-    assert_eq!(ran, ["cut", "swallowed", "whole"]);
+    assert_eq!(ran, ["cut", "withheld", "complete"]);
     assert_eq!(server.busy(), 0);
 }
 
-/// Guards against silence that breaks new connections, answers old ones or keeps slots busy.
+/// Guards against freezing that affects new connections, still delivers responses on frozen ones,
+/// or leaves their slots busy.
 #[tokio::test]
-async fn silent_connections() {
-    let server = backend(1).await;
+async fn frozen_connections_deliver_nothing_and_free_their_slots() {
+    let server = start_backend(1).await;
     let addr = server.addr();
-    let old = tokio::spawn(async move { call(addr, "GET", "/s/x?service_ms=50", &[], "").await });
+    let old = tokio::spawn(async move { send(addr, "GET", "/s/x?service_ms=50", &[], "").await });
     while server.busy() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     server.freeze_open_connections();
-    tokio::time::sleep(SHORT).await;
+    tokio::time::sleep(SHORT_WAIT).await;
     assert_eq!((server.busy(), server.connections()), (0, 1));
-    assert!(call(addr, "GET", "/s/x", &[], "").await.is_some());
+    assert!(send(addr, "GET", "/s/x", &[], "").await.is_some());
     assert!(!old.is_finished());
     old.abort();
-    tokio::time::sleep(SHORT).await;
+    tokio::time::sleep(SHORT_WAIT).await;
     assert_eq!(server.connections(), 0);
 }
 
-/// Guards against keys that reach a back end unseen, and against a missed connection limit.
+/// Guards against credentials that reach a backend server without being counted.
 #[rstest]
 #[case::clean("/s/x", ("x-team", "orders"), 0)]
 #[case::authorization("/s/x", ("authorization", "Bearer other"), 1)]
@@ -233,51 +246,56 @@
 #[case::path("/s/fgk_1_secret", ("x-team", "orders"), 1)]
 #[case::query("/s/x?key=fgk_1_secret", ("x-team", "orders"), 1)]
 #[tokio::test]
-async fn key_seen(#[case] path: &str, #[case] header: (&str, &str), #[case] seen: u64) {
-    let server = backend(1).await;
-    call(server.addr(), "GET", path, &[header], "")
+async fn credentials_are_counted(
+    #[case] path: &str,
+    #[case] header: (&str, &str),
+    #[case] count: u64,
+) {
+    let server = start_backend(1).await;
+    send(server.addr(), "GET", path, &[header], "")
         .await
         .unwrap();
-    assert_eq!(server.records().key_seen, seen);
+    assert_eq!(server.records().key_seen, count);
 }
 
-/// Guards against connections over the limit being served.
+/// Guards against connections over the limit that are served.
 #[tokio::test]
-async fn connection_limit() {
+async fn connections_over_limit_are_closed() {
     let cfg = BackendConfig {
         connection_limit: 1,
         ..BackendConfig::default()
     };
-    let server = BackendServer::bind(ANY, cfg).await.unwrap();
+    let server = BackendServer::bind(FREE_PORT, cfg).await.unwrap();
     let first = tokio::net::TcpStream::connect(server.addr()).await.unwrap();
     while server.connections() == 0 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    assert!(call(server.addr(), "GET", "/s/x", &[], "").await.is_none());
+    assert!(send(server.addr(), "GET", "/s/x", &[], "").await.is_none());
     assert_eq!(server.records().connections_over_limit, 1);
     drop(first);
 }
 
-/// Guards against cold requests that are as fast as warm ones.
+/// Guards against cold requests that take no longer than others.
 #[tokio::test]
-async fn cold_start() {
+async fn cold_requests_take_longer() {
     let cfg = BackendConfig {
         service_time: ServiceTime::Fixed(Duration::from_millis(40)),
         cold_requests: 1,
         cold_factor: 5.0,
         ..BackendConfig::default()
     };
-    let server = BackendServer::bind(ANY, cfg).await.unwrap();
-    let began = Instant::now();
-    call(server.addr(), "GET", "/s/x", &[], "").await.unwrap();
-    assert!(began.elapsed() >= Duration::from_millis(200));
+    let server = BackendServer::bind(FREE_PORT, cfg).await.unwrap();
+    let started = Instant::now();
+    send(server.addr(), "GET", "/s/x", &[], "").await.unwrap();
+    assert!(started.elapsed() >= Duration::from_millis(200));
     assert_eq!(server.close().await.runs.len(), 1);
 }
 
-/// Guards against HTTP/2 streams that escape the slots, or that hold one after a cancellation.
+/// Guards against HTTP/2 streams that run although all slots are busy, and against slots that stay
+/// busy after a stream is cancelled.
 #[tokio::test]
-async fn http2() {
-    let server = backend(1).await;
+async fn http2_streams_occupy_and_free_slots() {
+    let server = start_backend(1).await;
     let stream = tokio::net::TcpStream::connect(server.addr()).await.unwrap();
     let executor = hyper_util::rt::TokioExecutor::new();
     let io = hyper_util::rt::TokioIo::new(stream);
@@ -296,7 +314,7 @@
     }
     assert_eq!(send("x").await.unwrap().status(), 503);
     long.abort();
-    tokio::time::sleep(SHORT).await;
+    tokio::time::sleep(SHORT_WAIT).await;
     assert_eq!(send("x").await.unwrap().status(), 200);
     assert_eq!(server.records().cancelled, 1);
     connection.abort();
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -1,4 +1,5 @@
-//! Callers classify every ending correctly, and reports count every violation.
+//! Tests of the caller stand-in: outcomes of calls, look-ups, the load generator and the comparison
+//! with the records of the backend servers.
 
 mod support;
 
@@ -21,13 +22,14 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use rstest::rstest;
-use support::{ANY, call};
+use support::{FREE_PORT, send};
 
-/// A VM that answers each request with `answer`. Returns its address and its number of requests.
-async fn vm(
-    answer: impl Fn() -> Response<Full<Bytes>> + Clone + Send + 'static,
+/// Starts a VM that responds to each request with `response`. Returns its address and its request
+/// count.
+async fn start_vm(
+    response: impl Fn() -> Response<Full<Bytes>> + Clone + Send + 'static,
 ) -> (SocketAddr, Arc<AtomicU64>) {
-    let listener = tokio::net::TcpListener::bind(ANY)
+    let listener = tokio::net::TcpListener::bind(FREE_PORT)
         .await
         .expect("a free port");
     let addr = listener.local_addr().expect("bound");
@@ -35,11 +37,11 @@
     let counter = Arc::clone(&count);
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (answer, counter) = (answer.clone(), Arc::clone(&counter));
+            let (response, counter) = (response.clone(), Arc::clone(&counter));
             let service = service_fn(move |_: Request<_>| {
                 counter.fetch_add(1, Ordering::SeqCst);
-                let answer = answer();
-                async { Ok::<_, Infallible>(answer) }
+                let response = response();
+                async { Ok::<_, Infallible>(response) }
             });
             let builder = hyper::server::conn::http1::Builder::new();
             tokio::spawn(builder.serve_connection(TokioIo::new(stream), service));
@@ -48,14 +50,16 @@
     (addr, count)
 }
 
-async fn backend(slots: usize) -> BackendServer {
+async fn start_backend(slots: usize) -> BackendServer {
     let service_time = ServiceTime::Fixed(Duration::ZERO);
     let cfg = BackendConfig {
         slots,
         service_time,
         ..BackendConfig::default()
     };
-    BackendServer::bind(ANY, cfg).await.expect("a free port")
+    BackendServer::bind(FREE_PORT, cfg)
+        .await
+        .expect("a free port")
 }
 
 fn caller(route: Route, http2: bool) -> Caller {
@@ -85,23 +89,23 @@
     }
 }
 
-/// Guards against endings that are classified as another one, over both versions of HTTP.
+/// Guards against outcomes that are misclassified, over HTTP/1.1 and HTTP/2.
 #[rstest]
-#[case::whole(|_: &BackendServer| (), Outcome::Complete)]
+#[case::complete(|_: &BackendServer| (), Outcome::Complete)]
 #[case::cut(|server: &BackendServer| server.cut_next_responses(1, 500), Outcome::Cut)]
-#[case::swallowed(|server: &BackendServer| server.withhold_next_responses(1), Outcome::Lost { sent: true })]
+#[case::withheld(|server: &BackendServer| server.withhold_next_responses(1), Outcome::Lost { sent: true })]
 #[case::closed(|server: &BackendServer| server.close_next_unread(1), Outcome::Lost { sent: true })]
 #[case::drained(|server: &BackendServer| server.set_draining(true), refused(503, "x-drain", true))]
-#[case::silent(|server: &BackendServer| server.freeze_open_connections(), Outcome::Lost { sent: true })]
+#[case::frozen(|server: &BackendServer| server.freeze_open_connections(), Outcome::Lost { sent: true })]
 #[tokio::test]
-async fn endings(
+async fn outcome_matches_fault(
     #[case] fault: fn(&BackendServer),
     #[case] outcome: Outcome,
     #[values(false, true)] http2: bool,
 ) {
-    let server = backend(1).await;
+    let server = start_backend(1).await;
     let caller = caller(Route::Vms(vec![server.addr()]), http2);
-    // The fault meets a kept-alive connection.
+    // The first call opens the keep-alive connection on which the fault then occurs.
     assert_eq!(
         caller.call(&request("before")).await.outcome,
         Outcome::Complete
@@ -116,9 +120,10 @@
     );
 }
 
-/// Guards against foreign or silently truncated answers that pass, and against misread refusals.
+/// Guards against a response to another request or a truncated response that is accepted, and
+/// against refusals that are misread.
 #[rstest]
-#[case::foreign(200, &[], expected_response("other", b"order", 1_000), Outcome::WrongAnswer)]
+#[case::other_request(200, &[], expected_response("other", b"order", 1_000), Outcome::WrongAnswer)]
 #[case::truncated(200, &[], expected_response("r", b"order", 999), Outcome::WrongAnswer)]
 #[case::not_run(
     429,
@@ -140,41 +145,41 @@
 )]
 #[case::plain(500, &[], Bytes::new(), refused(500, "status_500", false))]
 #[tokio::test]
-async fn answers(
+async fn responses_are_verified_and_refusals_are_parsed(
     #[case] status: u16,
     #[case] headers: &'static [(&str, &str)],
     #[case] body: Bytes,
     #[case] outcome: Outcome,
 ) {
-    let answer = move || {
-        let answer = Response::builder().status(status);
-        let answer = headers
-            .iter()
-            .fold(answer, |answer, (name, value)| answer.header(*name, *value));
-        answer.body(Full::new(body.clone())).unwrap()
+    let response = move || {
+        let response = Response::builder().status(status);
+        let response = headers.iter().fold(response, |response, (name, value)| {
+            response.header(*name, *value)
+        });
+        response.body(Full::new(body.clone())).unwrap()
     };
-    let (addr, _) = vm(answer).await;
+    let (addr, _) = start_vm(response).await;
     let result = caller(Route::Vms(vec![addr]), false)
         .call(&request("r"))
         .await;
     assert_eq!((result.outcome, result.vm), (outcome, Some(addr)));
 }
 
-/// Guards against look-ups for every request, look-ups that never expire, and callers that give up
-/// on the first dead VM of an answer or at the first dead look-up server.
+/// Guards against a look-up for every request, look-ups that never expire, and callers that give up
+/// at the first unreachable VM of a look-up or at the first unreachable VM to query.
 #[tokio::test]
-async fn lookups() {
-    let server = backend(1).await;
-    let closed = tokio::net::TcpListener::bind(ANY)
+async fn lookups_expire_and_unreachable_vms_are_skipped() {
+    let server = start_backend(1).await;
+    let closed = tokio::net::TcpListener::bind(FREE_PORT)
         .await
         .unwrap()
         .local_addr()
         .unwrap();
     let body = serde_json::json!({"ttl_ms": 200, "vms": [
-        {"vm": "dead", "address": closed.to_string(), "region": "rhone"},
+        {"vm": "unreachable", "address": closed.to_string(), "region": "rhone"},
         {"vm": "live", "address": server.addr().to_string(), "region": "rhone"},
     ]});
-    let (addr, count) = vm(move || Response::new(Full::from(body.to_string()))).await;
+    let (addr, count) = start_vm(move || Response::new(Full::from(body.to_string()))).await;
     let caller = caller(Route::Lookup(vec![closed, addr]), false);
     for id in ["r1", "r2"] {
         let result = caller.call(&request(id)).await;
@@ -187,23 +192,28 @@
     tokio::time::sleep(Duration::from_millis(250)).await;
     caller.call(&request("r3")).await;
     assert_eq!(count.load(Ordering::SeqCst), 2);
-    let nowhere = self::caller(Route::Lookup(vec![closed]), false)
+    let unreachable = self::caller(Route::Lookup(vec![closed]), false)
         .call(&request("r4"))
         .await;
-    assert_eq!(nowhere.outcome, Outcome::Lost { sent: false });
+    assert_eq!(unreachable.outcome, Outcome::Lost { sent: false });
 }
 
-/// Guards against windows that are not checked, and against conforming traffic that is reported.
+/// Guards against time windows that are not checked, and against conforming traffic that is
+/// reported.
 #[rstest]
 #[case::burst_within(&[0, 0, 0], 0, 0)]
 #[case::burst_above(&[0, 0, 0, 0, 0], 0, 2)]
 #[case::steady(&[0, 0, 0, 100, 200, 300], 0, 0)]
 #[case::steady_above(&[0, 0, 0, 100, 150, 200], 0, 1)]
 #[case::any_order(&[200, 0, 150, 0, 100, 0], 0, 1)]
-#[case::late_window(&[0, 5_000, 5_000, 5_000, 5_000], 0, 1)]
+#[case::window_after_pause(&[0, 5_000, 5_000, 5_000, 5_000], 0, 1)]
 #[case::jitter(&[0, 0, 0, 100, 150, 200], 100, 0)]
 #[case::none(&[], 0, 0)]
-fn rate_windows(#[case] times_ms: &[u64], #[case] jitter_ms: u64, #[case] over: u64) {
+fn requests_over_the_rate_limit_are_counted(
+    #[case] times_ms: &[u64],
+    #[case] jitter_ms: u64,
+    #[case] over: u64,
+) {
     let start = Instant::now();
     let times: Vec<_> = times_ms
         .iter()
@@ -219,9 +229,9 @@
     );
 }
 
-/// Guards against violations that the comparison with the back ends does not count.
+/// Guards against violations that the comparison with the backend servers does not count.
 #[test]
-fn joined_counts() {
+fn comparison_counts_every_violation() {
     let now = Instant::now();
     let call = |id: &str, idempotent, outcome| CallRecord {
         request_id: id.to_owned(),
@@ -245,19 +255,26 @@
         teams: indexmap::IndexMap::new(),
         calls: vec![
             call("twice", false, Outcome::Complete),
-            call("again", true, Outcome::Complete),
-            call("false", false, refused(503, "x", true)),
-            call("true", false, refused(503, "x", true)),
+            call("idempotent", true, Outcome::Complete),
+            call("ran_after_not_run", false, refused(503, "x", true)),
+            call("not_run", false, refused(503, "x", true)),
             call("unknown", false, refused(503, "x", false)),
-            call("invented", false, Outcome::Complete),
-            call("foreign", false, Outcome::Complete),
+            call("served_without_run", false, Outcome::Complete),
+            call("wrong_team", false, Outcome::Complete),
         ],
         lost: 0,
         lost_unsent: 0,
         cut: 0,
         wrong_answer: 0,
     };
-    let ids = ["twice", "again", "again", "again", "false", "unknown"];
+    let ids = [
+        "twice",
+        "idempotent",
+        "idempotent",
+        "idempotent",
+        "ran_after_not_run",
+        "unknown",
+    ];
     let runs = ids.map(|id| run(id, "orders")).to_vec();
     let first = BackendRecords {
         runs,
@@ -265,7 +282,7 @@
         over_slots: 2,
         ..BackendRecords::default()
     };
-    let runs = vec![run("twice", "orders"), run("foreign", "charts")];
+    let runs = vec![run("twice", "orders"), run("wrong_team", "charts")];
     let second = BackendRecords {
         runs,
         over_slots: 1,
@@ -290,11 +307,11 @@
     assert_eq!((admitted["orders"].len(), admitted["charts"].len()), (4, 1));
 }
 
-/// Guards against a load that misses its rate, its mix or its seed, and against a report that does
-/// not add up.
+/// Guards against a load that deviates from its rate, mix or seed, and against a report whose
+/// counts are inconsistent.
 #[tokio::test]
-async fn load_report() {
-    let server = backend(100).await;
+async fn load_follows_its_settings_and_report_is_consistent() {
+    let server = start_backend(100).await;
     let mix = vec![
         RequestKind::chart("maatboek").weight(2),
         RequestKind::order("snijbank"),
@@ -339,26 +356,27 @@
         .count() as u64;
     assert!(
         (sent / 8..sent / 2).contains(&posts),
-        "{posts} of {sent} are orders"
+        "{posts} of {sent} requests are orders"
     );
-    let joined = report.compare_with_backends(&[records], Duration::ZERO);
+    let comparison = report.compare_with_backends(&[records], Duration::ZERO);
     assert_eq!(
         (
-            joined.key_seen_by_backend,
-            joined.repeated,
-            joined.over_slots
+            comparison.key_seen_by_backend,
+            comparison.repeated,
+            comparison.over_slots
         ),
         (sent, 0, 0)
     );
-    // 100 per second and a burst of 10 admit at most 110 and a few in a bit more than 1 s.
+    // A rate of 100 per second and a burst of 10 admit 110 requests in 1 s, and a few more because
+    // the arrivals extend over slightly more than 1 s.
     assert!(
-        (large.sent - 130..=large.sent - 100).contains(&joined.over_rate),
-        "{joined:?}"
+        (large.sent - 130..=large.sent - 100).contains(&comparison.over_rate),
+        "{comparison:?}"
     );
     server.set_draining(true);
-    let again = Load::new(cfg).run().await;
-    assert_eq!(again.teams["large"].sent, large.sent);
-    let drained = &again.teams["large"];
+    let second_report = Load::new(cfg).run().await;
+    assert_eq!(second_report.teams["large"].sent, large.sent);
+    let drained = &second_report.teams["large"];
     assert_eq!(
         (drained.refused["x-drain"], drained.refused_not_run),
         (large.sent, large.sent)
@@ -371,12 +389,12 @@
         drained.refused_within_rate + drained.refused_over_rate,
         large.sent
     );
-    assert_eq!(again.worst_team().unwrap().1.served, 0);
+    assert_eq!(second_report.worst_team().unwrap().1.served, 0);
 }
 
-/// Guards against keys in debug output.
+/// Guards against API keys in debug output.
 #[test]
-fn key_is_redacted() {
+fn key_is_redacted_in_debug_output() {
     let cfg = CallerConfig {
         key: Some(Key::new("fgk_1_secret")),
         ..CallerConfig::default()
@@ -384,13 +402,14 @@
     assert!(!format!("{cfg:?} {:?}", Caller::new(cfg.clone())).contains("secret"));
 }
 
-/// Guards against a test server whose address another test takes over.
+/// Guards against a closed backend server that still accepts connections or keeps its address
+/// bound.
 #[tokio::test]
-async fn closed_backend_frees_its_address() {
-    let server = backend(1).await;
+async fn closed_backend_server_frees_its_address() {
+    let server = start_backend(1).await;
     let addr = server.addr();
     server.close().await;
-    assert!(call(addr, "GET", "/s/x", &[], "").await.is_none());
-    let again = BackendServer::bind(addr, BackendConfig::default()).await;
-    assert_eq!(again.unwrap().addr(), addr);
+    assert!(send(addr, "GET", "/s/x", &[], "").await.is_none());
+    let reopened = BackendServer::bind(addr, BackendConfig::default()).await;
+    assert_eq!(reopened.unwrap().addr(), addr);
 }
--- a/crates/filbertgrade-standins/tests/proxy.rs
+++ b/crates/filbertgrade-standins/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy passes bytes unchanged and injects the faults it is told to.
+//! Tests of the fault proxy: forwarding without faults, and each injected fault.
 
 use std::io::ErrorKind;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -8,14 +8,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const FREE_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Loopback address that no client uses by default.
 const OTHER_SOURCE: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
-const SHORT: Duration = Duration::from_millis(150);
+/// Delay that the tests inject; also the wait after which undelayed bytes have certainly arrived.
+const SHORT_WAIT: Duration = Duration::from_millis(150);
 
-/// Starts a proxy in front of a server that sends back what it receives.
-async fn echo() -> FaultProxy {
-    let listener = TcpListener::bind(ANY).await.expect("a free port");
-    let proxy = FaultProxy::bind(ANY, listener.local_addr().expect("bound")).await;
+/// Starts a proxy that forwards to an echo server.
+async fn start_echo_proxy() -> FaultProxy {
+    let listener = TcpListener::bind(FREE_PORT).await.expect("a free port");
+    let proxy = FaultProxy::bind(FREE_PORT, listener.local_addr().expect("bound")).await;
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -33,23 +35,25 @@
         .expect("the proxy listens")
 }
 
-async fn exchange(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
+/// Sends `text` to the echo server and returns the echo.
+async fn echo_round_trip(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(text).await?;
     let mut buf = vec![0; text.len()];
     stream.read_exact(&mut buf).await?;
     Ok(buf)
 }
 
-async fn unanswered(stream: &mut TcpStream, text: &[u8]) -> bool {
-    tokio::time::timeout(SHORT, exchange(stream, text))
+/// Sends `text` and returns whether no echo arrives in time.
+async fn echo_times_out(stream: &mut TcpStream, text: &[u8]) -> bool {
+    tokio::time::timeout(SHORT_WAIT, echo_round_trip(stream, text))
         .await
         .is_err()
 }
 
-/// Guards against bytes that are lost, changed or miscounted without any fault.
+/// Guards against bytes that are lost, changed or miscounted when there is no fault.
 #[tokio::test]
-async fn passes_bytes() {
-    let proxy = echo().await;
+async fn bytes_pass_unchanged_without_faults() {
+    let proxy = start_echo_proxy().await;
     let data: Vec<u8> = (0..1_000_000_u32)
         .map(|i| i.to_le_bytes()[0] ^ i.to_le_bytes()[1])
         .collect();
@@ -69,15 +73,15 @@
     );
 }
 
-/// Guards against delays and bandwidth limits that do not add up over both directions.
+/// Guards against a delay in one direction and a bandwidth limit in the other that do not add up.
 #[tokio::test]
-async fn delay_and_bandwidth() {
-    let proxy = echo().await;
+async fn delay_and_bandwidth_limit_add_up() {
+    let proxy = start_echo_proxy().await;
     let bandwidth = Some(Bandwidth::new(100_000));
     proxy.set_fault(
         Direction::ToServer,
         Fault {
-            delay: SHORT,
+            delay: SHORT_WAIT,
             ..Fault::default()
         },
     );
@@ -89,16 +93,17 @@
         },
     );
     let mut stream = connect(&proxy).await;
-    let began = Instant::now();
-    exchange(&mut stream, &[7; 20_000]).await.unwrap();
+    let started = Instant::now();
+    echo_round_trip(&mut stream, &[7; 20_000]).await.unwrap();
     // 20,000 bytes at 100,000 bytes per second take 200 ms.
-    assert!(began.elapsed() >= SHORT + Duration::from_millis(200));
+    assert!(started.elapsed() >= SHORT_WAIT + Duration::from_millis(200));
 }
 
-/// Guards against silence that loses bytes, as a short partition does not.
+/// Guards against stalls that lose bytes. A short network partition delays bytes but does not lose
+/// them.
 #[tokio::test]
-async fn silence_holds_bytes() {
-    let proxy = echo().await;
+async fn stalled_bytes_arrive_after_the_fault() {
+    let proxy = start_echo_proxy().await;
     let mut stream = connect(&proxy).await;
     proxy.set_fault(
         Direction::ToClient,
@@ -107,7 +112,7 @@
             ..Fault::default()
         },
     );
-    assert!(unanswered(&mut stream, b"first").await);
+    assert!(echo_times_out(&mut stream, b"first").await);
     assert_eq!((proxy.counts().to_server, proxy.counts().to_client), (5, 0));
     proxy.clear_faults();
     let mut buf = [0; 5];
@@ -115,16 +120,19 @@
     assert_eq!(&buf, b"first");
 }
 
-/// Guards against half-open connections that pass bytes or their end, or that break new ones.
+/// Guards against frozen connections that still deliver bytes or the end of the stream, and against
+/// freezing that affects new connections.
 #[tokio::test]
-async fn frozen_connections() {
-    let proxy = echo().await;
+async fn frozen_connections_drop_bytes() {
+    let proxy = start_echo_proxy().await;
     let mut old = connect(&proxy).await;
-    exchange(&mut old, b"before").await.unwrap();
+    echo_round_trip(&mut old, b"before").await.unwrap();
     proxy.freeze_open();
-    assert!(unanswered(&mut old, b"after").await);
+    assert!(echo_times_out(&mut old, b"after").await);
     assert_eq!(
-        exchange(&mut connect(&proxy).await, b"new").await.unwrap(),
+        echo_round_trip(&mut connect(&proxy).await, b"new")
+            .await
+            .unwrap(),
         b"new"
     );
     assert_eq!(
@@ -133,10 +141,11 @@
     );
 }
 
-/// Guards against a truncation that resets, so that received bytes are lost with it.
+/// Guards against a truncation that resets the connection, because a reset can discard bytes that
+/// were received before it.
 #[tokio::test]
-async fn truncation_ends_cleanly() {
-    let proxy = echo().await;
+async fn truncation_closes_without_reset() {
+    let proxy = start_echo_proxy().await;
     let truncate_after = Some(4);
     proxy.set_fault(
         Direction::ToClient,
@@ -152,12 +161,12 @@
     assert_eq!(received, b"trun");
 }
 
-/// Guards against a cut or a refusal that looks like a regular end of the stream.
+/// Guards against a cut or a refused connection that looks like a regular end of the stream.
 #[tokio::test]
-async fn cut_and_refusal_reset() {
-    let proxy = echo().await;
+async fn cut_and_refused_connections_are_reset() {
+    let proxy = start_echo_proxy().await;
     let mut stream = connect(&proxy).await;
-    exchange(&mut stream, b"before").await.unwrap();
+    echo_round_trip(&mut stream, b"before").await.unwrap();
     proxy.cut_open();
     assert_eq!(
         stream.read_u8().await.unwrap_err().kind(),
@@ -170,32 +179,35 @@
     };
     assert_eq!(refused.kind(), ErrorKind::ConnectionReset);
     proxy.clear_faults();
-    exchange(&mut connect(&proxy).await, b"after")
+    echo_round_trip(&mut connect(&proxy).await, b"after")
         .await
         .unwrap();
 }
 
-/// Guards against faults of one source that reach other sources, and against a hidden source.
+/// Guards against faults of one source that affect other sources, and against a server that does
+/// not see the source address of the client.
 #[tokio::test]
-async fn faults_of_one_source() {
-    let listener = TcpListener::bind(ANY).await.unwrap();
-    let proxy = FaultProxy::bind(ANY, listener.local_addr().unwrap())
+async fn faults_of_one_source_do_not_affect_others() {
+    let listener = TcpListener::bind(FREE_PORT).await.unwrap();
+    let proxy = FaultProxy::bind(FREE_PORT, listener.local_addr().unwrap())
         .await
         .unwrap();
-    let silent = Fault {
+    let stalled = Fault {
         stalled: true,
         ..Fault::default()
     };
-    proxy.set_fault_from(OTHER_SOURCE, Direction::ToServer, silent);
-    for (source, passes) in [(ANY.ip(), true), (OTHER_SOURCE, false)] {
+    proxy.set_fault_from(OTHER_SOURCE, Direction::ToServer, stalled);
+    for (source, passes) in [(FREE_PORT.ip(), true), (OTHER_SOURCE, false)] {
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind(SocketAddr::new(source, 0)).unwrap();
         let mut client = socket.connect(proxy.addr()).await.unwrap();
-        let (mut server, seen) = listener.accept().await.unwrap();
+        let (mut server, peer) = listener.accept().await.unwrap();
         client.write_all(b"x").await.unwrap();
-        assert_eq!(seen.ip(), source);
+        assert_eq!(peer.ip(), source);
         assert_eq!(
-            tokio::time::timeout(SHORT, server.read_u8()).await.is_ok(),
+            tokio::time::timeout(SHORT_WAIT, server.read_u8())
+                .await
+                .is_ok(),
             passes
         );
         assert_eq!(proxy.counts_from(source).to_server, u64::from(passes));
--- a/crates/filbertgrade-standins/tests/support/mod.rs
+++ b/crates/filbertgrade-standins/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One HTTP call over a connection of its own.
+//! HTTP client for the tests.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,13 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Any local address with a free port.
-pub(crate) const ANY: SocketAddr =
+/// Loopback address with port 0, which binds a free port.
+pub(crate) const FREE_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Sends one request and returns the whole answer, or `None` if the connection broke first.
-pub(crate) async fn call(
+/// Sends one request on a new connection and returns the response with its complete body, or `None`
+/// if the connection failed first.
+pub(crate) async fn send(
     addr: SocketAddr,
     method: &str,
     path: &str,
@@ -35,8 +36,8 @@
     let req = req
         .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
         .expect("a valid request");
-    let answer = sender.send_request(req).await.ok()?;
-    let (parts, body) = answer.into_parts();
+    let response = sender.send_request(req).await.ok()?;
+    let (parts, body) = response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     drop(sender);
     let _ = task.await;
