--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -111,7 +111,7 @@
     },
     /// Exponentially distributed with mean `mean`; longer times are replaced by `max`.
     Exponential {
-        /// Mean before truncation.
+        /// Mean of the distribution before times are limited to `max`.
         mean: Duration,
         /// Longest time.
         max: Duration,
@@ -148,7 +148,7 @@
     pub started: Instant,
 }
 
-/// What a backend server observed.
+/// Records of what a backend server observed.
 #[derive(Clone, Debug, Default)]
 pub struct BackendRecords {
     /// Every run in order of its start, including runs whose response was withheld or whose caller
@@ -169,7 +169,7 @@
     pub cancelled: u64,
     /// Requests that received 504 because their deadline expired.
     pub deadline_exceeded: u64,
-    /// Admission time of each request during a drain, relative to the start of the drain.
+    /// Arrival time of each request during a drain, relative to the start of the drain.
     pub arrived_while_draining: Vec<Duration>,
 }
 
--- a/crates/filbertgrade-standins/src/proxy.rs
+++ b/crates/filbertgrade-standins/src/proxy.rs
@@ -203,7 +203,7 @@
         self.reset_where(|from| from == source);
     }
 
-    /// Freezes every open connection for the rest of its life: the proxy reads and drops all bytes
+    /// Freezes every open connection until it is closed: the proxy reads and drops all bytes
     /// and does not pass on the end of the stream, as on a half-open connection. Connections opened
     /// later are not affected.
     pub fn freeze_open(&self) {
@@ -281,6 +281,7 @@
     }
 }
 
+/// Counts of one source.
 #[derive(Debug, Default)]
 struct Counter {
     /// Delivered bytes, indexed by [`Direction`].
@@ -300,6 +301,7 @@
     }
 }
 
+/// The current faults, and the open connections with the faults that apply to them.
 #[derive(Debug)]
 struct Rules {
     forward_to: SocketAddr,
@@ -510,7 +512,8 @@
 }
 
 impl Pipe {
-    /// Forwards bytes until the stream ends. An error says how to close the whole connection.
+    /// Forwards bytes until the stream ends. The error states how the whole connection is to be
+    /// closed.
     async fn run(self, from: ReadHalf<'_>, to: WriteHalf<'_>) -> Result<(), EarlyClose> {
         let (tx, rx) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
         let rules = self.rules.clone();
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -133,9 +133,9 @@
 )]
 #[case::unknown(
     504,
-    &[("filbertgrade-cause", "silence"), ("filbertgrade-outcome", "unknown")],
+    &[("filbertgrade-cause", "backend_silent"), ("filbertgrade-outcome", "unknown")],
     Bytes::new(),
-    refused(504, "silence", false)
+    refused(504, "backend_silent", false)
 )]
 #[case::shed_unknown(
     503,
