--- a/crates/filbertgrade/src/process/entry/links.rs
+++ b/crates/filbertgrade/src/process/entry/links.rs
@@ -1,4 +1,4 @@
-//! Links to the entries of the other VMs.
+//! Links to the entry processes of the other VMs.
 
 use std::net::SocketAddr;
 use std::sync::RwLock;
@@ -7,14 +7,14 @@
 use indexmap::IndexMap;
 
 use crate::connection::PeerLink;
-use crate::process::settings::NodeSettings;
+use crate::process::settings::VmSettings;
 use crate::sync::{read, write};
 use crate::version::InForce;
 
-/// One link for each VM of the platform's list but the own one.
+/// One link for each VM on the platform's list except this VM.
 #[derive(Debug)]
 pub(crate) struct PeerLinks {
-    settings: NodeSettings,
+    settings: VmSettings,
     peers: RwLock<IndexMap<VmName, Peer>>,
 }
 
@@ -25,15 +25,16 @@
 }
 
 impl PeerLinks {
-    pub(crate) fn new(settings: NodeSettings) -> Self {
+    pub(crate) fn new(settings: VmSettings) -> Self {
         Self {
             settings,
             peers: RwLock::default(),
         }
     }
 
-    /// Follows the platform's list. A VM that is leaving keeps its link,
-    /// because loans may have to be given back to it.
+    /// Adds and removes links according to the platform's list of VMs. A VM
+    /// that is leaving keeps its link, because loans may have to be returned to
+    /// it.
     pub(crate) fn update(&self, view: &InForce) {
         let mut peers = write(&self.peers);
         let mut next = IndexMap::new();
@@ -51,13 +52,15 @@
         *peers = next;
     }
 
-    /// The link to one VM.
-    pub(crate) fn to(&self, vm: &VmName) -> Option<PeerLink> {
+    /// Returns the link to `vm`, or `None` when it is not on the platform's
+    /// list.
+    pub(crate) fn link_to(&self, vm: &VmName) -> Option<PeerLink> {
         let peers = read(&self.peers);
         peers.get(vm).map(|peer| peer.link.clone())
     }
 
-    /// `count` peers, other ones with each `turn` until all had theirs.
+    /// Returns up to `count` peers. Successive values of `turn` go through all
+    /// peers in order.
     pub(crate) fn next_peers(&self, count: usize, turn: usize) -> Vec<(VmName, PeerLink)> {
         let peers = read(&self.peers);
         let total = peers.len();
