--- a/crates/filbertgrade-standins/src/bin/filbertgrade-soak.rs
+++ b/crates/filbertgrade-standins/src/bin/filbertgrade-soak.rs
@@ -1,4 +1,8 @@
-//! Runs nodes under random faults and checks what they promise.
+//! Runs nodes under random faults and checks the promises to callers, backend servers and
+//! operators.
+//!
+//! Exits with 0 if all promises were kept, 1 if one was broken, and 2 if the run could not be
+//! carried out.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,18 +15,20 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Runs nodes under random faults and checks what they promise.
+        /// Runs nodes under random faults and checks the promises to callers,
+        /// backend servers and operators.
         cmd filbertgrade-soak {
-            /// Seed of the plan; the same seed gives the same plan. Default 1.
+            /// Seed of the plan. The same seed gives the same plan. Default 1.
             optional --seed seed: u64
             /// Length of the run in seconds. Default 60.
             optional --seconds seconds: u64
-            /// VMs. Default 6.
+            /// Number of VMs. Default 6.
             optional --vms vms: usize
-            /// Program of a node. Default: `filbertgrade` beside this program.
+            /// Path of the program that is run as a node. Default: `filbertgrade`
+            /// in the directory of this program.
             optional --node node: PathBuf
-            /// Where settings and logs of the processes are left. Default: a
-            /// new directory for temporary files.
+            /// Directory for the settings and logs of the processes; they are
+            /// kept. Default: a new directory for temporary files.
             optional --logs logs: PathBuf
         }
     }
@@ -41,6 +47,7 @@
     }
 }
 
+/// Carries out a run and prints its report. Returns whether all promises were kept.
 async fn soak(flags: &flags::FilbertgradeSoak) -> std::io::Result<bool> {
     let logs = match &flags.logs {
         Some(logs) => logs.clone(),
@@ -53,7 +60,7 @@
         vms: flags.vms.unwrap_or(6).max(1),
         node: match &flags.node {
             Some(node) => node.clone(),
-            None => beside()?,
+            None => default_node_program()?,
         },
         logs,
     };
@@ -76,6 +83,7 @@
     Ok(report.violations.is_empty())
 }
 
-fn beside() -> std::io::Result<PathBuf> {
+/// Returns the path of `filbertgrade` in the directory of this program.
+fn default_node_program() -> std::io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("filbertgrade"))
 }
--- a/crates/filbertgrade-standins/src/node/endpoint.rs
+++ b/crates/filbertgrade-standins/src/node/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server of the platform.
+//! A stand-in for a backend server in the platform's protocol, with configurable faults.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,91 +9,98 @@
 
 use crate::common::lock;
 
-/// What an endpoint does with its requests.
+/// How an endpoint handles its requests. Each request runs, except with [`Self::Refuses`] and
+/// [`Self::IsAnother`]. The plan of a soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointBehavior {
-    /// It serves them.
+    /// Responds with status 200.
     Serves,
-    /// It says that it did not run the request.
+    /// Responds with status 503 and the header that confirms that the request did not run.
     Refuses,
-    /// It runs the request and resets the connection.
+    /// Closes the connection without a response.
     LosesAnswer,
-    /// It runs the request and does not answer.
+    /// Never responds, but keeps the connection open.
     Silent,
-    /// Its answer names another request.
+    /// Responds with the id of another request, in the header and in the body.
     CrossesAnswers,
-    /// Its answer bears no signature.
+    /// Responds without the signature header.
     Unsigned,
-    /// Its answer ends early.
+    /// Closes the connection after 5 bytes of the response body.
     CutsAnswers,
-    /// It runs the request, and its work fails.
+    /// Responds with status 500.
     Fails,
-    /// Another endpoint has its address.
+    /// Responds with status 421, like an endpoint that took over the address of another one. The
+    /// request does not run.
     IsAnother,
 }
 
-/// A backend server.
+/// A running backend server. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its name.
+    /// Id under which the platform registers it.
     pub id: String,
-    /// Where it takes requests.
+    /// Address that it accepts requests on.
     pub address: SocketAddr,
     behavior: Arc<Mutex<EndpointBehavior>>,
-    work: Duration,
-    ran: Arc<Mutex<Vec<Run>>>,
+    /// Time for which it works on each request.
+    service_time: Duration,
+    runs: Arc<Mutex<Vec<Run>>>,
 }
 
-/// A request that an endpoint ran.
+/// A run of a request at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its head in lower case.
+    /// Request line and headers, in lower case.
     pub head: String,
-    /// When the work began.
+    /// When the endpoint started to run the request.
     pub at: Instant,
 }
 
 impl Endpoint {
-    /// Starts an endpoint whose work takes a given time on a free port.
+    /// Starts an endpoint on a free port. It works on each request for `service_time`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
-    pub async fn start(id: &str, work: Duration) -> std::io::Result<Self> {
+    /// Returns an error if no port can be bound.
+    pub async fn start(id: &str, service_time: Duration) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let endpoint = Self {
             id: id.to_owned(),
             address: listener.local_addr()?,
             behavior: Arc::new(Mutex::new(EndpointBehavior::Serves)),
-            work,
-            ran: Arc::default(),
+            service_time,
+            runs: Arc::default(),
         };
         let serving = endpoint.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let endpoint = serving.clone();
-                // How a connection ended shows at the caller.
+                // The node observes how its connection ended.
                 tokio::spawn(async move { drop(endpoint.serve(stream).await) });
             }
         });
         Ok(endpoint)
     }
 
-    /// Changes what it does with its requests.
+    /// Sets the behavior for requests that arrive from now on.
     pub fn set_behavior(&self, behavior: EndpointBehavior) {
         *lock(&self.behavior) = behavior;
     }
 
-    /// Heads of the requests that it ran, in lower case.
+    /// Returns the request lines and headers of all runs so far, in lower case.
     pub fn run_heads(&self) -> Vec<String> {
-        lock(&self.ran).iter().map(|run| run.head.clone()).collect()
+        lock(&self.runs)
+            .iter()
+            .map(|run| run.head.clone())
+            .collect()
     }
 
-    /// The requests that it ran after the first `count`.
+    /// Returns all runs but the first `count`.
     pub fn runs_since(&self, count: usize) -> Vec<Run> {
-        lock(&self.ran).iter().skip(count).cloned().collect()
+        lock(&self.runs).iter().skip(count).cloned().collect()
     }
 
+    /// Handles the requests of one connection until it ends.
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut buf = Vec::new();
         loop {
@@ -104,8 +111,8 @@
             let id = header(&head, "x-filbertgrade-request-id");
             match behavior {
                 EndpointBehavior::Refuses => {
-                    let answer = "HTTP/1.1 503 Busy\r\nx-filbertgrade-not-executed: 1\r\ncontent-length: 0\r\n\r\n";
-                    stream.write_all(answer.as_bytes()).await?;
+                    let response = "HTTP/1.1 503 Busy\r\nx-filbertgrade-not-executed: 1\r\ncontent-length: 0\r\n\r\n";
+                    stream.write_all(response.as_bytes()).await?;
                     continue;
                 }
                 EndpointBehavior::IsAnother => {
@@ -117,8 +124,8 @@
                 _ => {}
             }
             let at = Instant::now();
-            lock(&self.ran).push(Run { head, at });
-            tokio::time::sleep(self.work).await;
+            lock(&self.runs).push(Run { head, at });
+            tokio::time::sleep(self.service_time).await;
             match behavior {
                 EndpointBehavior::LosesAnswer => return Ok(()),
                 EndpointBehavior::Silent => std::future::pending().await,
@@ -129,22 +136,22 @@
             } else {
                 "200 OK"
             };
-            let echoed = if behavior == EndpointBehavior::CrossesAnswers {
+            let response_id = if behavior == EndpointBehavior::CrossesAnswers {
                 "another"
             } else {
                 &id
             };
-            let seal = if behavior == EndpointBehavior::Unsigned {
+            let signature_header = if behavior == EndpointBehavior::Unsigned {
                 "x-none"
             } else {
                 "x-filbertgrade-server-seal"
             };
-            let body = format!("answer of {} to {echoed}", self.id);
-            let answer = format!(
-                "HTTP/1.1 {status}\r\nx-filbertgrade-request-id: {echoed}\r\n{seal}: s\r\ncontent-length: {}\r\n\r\n",
+            let body = format!("answer of {} to {response_id}", self.id);
+            let response = format!(
+                "HTTP/1.1 {status}\r\nx-filbertgrade-request-id: {response_id}\r\n{signature_header}: s\r\ncontent-length: {}\r\n\r\n",
                 body.len()
             );
-            stream.write_all(answer.as_bytes()).await?;
+            stream.write_all(response.as_bytes()).await?;
             if behavior == EndpointBehavior::CutsAnswers {
                 return stream.write_all(&body.as_bytes()[..5]).await;
             }
@@ -153,7 +160,8 @@
     }
 }
 
-/// The head of the next request, after its body was read.
+/// Reads the next request with its body and returns its head in lower case, or `None` at the end of
+/// the connection.
 async fn read_request(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
@@ -176,7 +184,8 @@
     }
 }
 
-/// The value of a header in a head in lower case; empty when it is missing.
+/// Returns the value of a header in a head that is in lower case, or an empty string if it is
+/// missing.
 pub fn header(head: &str, name: &str) -> String {
     let line = head
         .lines()
--- a/crates/filbertgrade-standins/src/node/mod.rs
+++ b/crates/filbertgrade-standins/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what surrounds a node: the platform's store and its endpoints.
+//! Stand-ins for the systems that a node connects to: the platform's store and the backend servers.
 
 pub mod endpoint;
 pub mod store;
@@ -6,20 +6,19 @@
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// An address of the loopback network that no other call of this process
-/// returned lately, and hardly one of another process.
+/// Returns a loopback address that differs from the last 249 addresses that this process received,
+/// and very probably from those of other processes.
 ///
-/// A program that listens there can use any port, and finds it free when it is
-/// started anew, while a port that was free on the common address may be taken
-/// by then.
+/// A program can listen on any port of the address and bind it again when it is restarted. A free
+/// port of 127.0.0.1 could have been taken by another process in the meantime.
 pub fn unique_loopback_address() -> Ipv4Addr {
-    /// Addresses of one process before they are used again.
-    const ADDRESSES: u32 = 250;
+    /// Number of addresses of one process before the first one is reused.
+    const ADDRESSES_PER_PROCESS: u32 = 250;
     static CALLS: AtomicU32 = AtomicU32::new(0);
-    let call = CALLS.fetch_add(1, Ordering::Relaxed) % ADDRESSES;
+    let call = CALLS.fetch_add(1, Ordering::Relaxed) % ADDRESSES_PER_PROCESS;
     let process = std::process::id();
-    let [_, _, _, first] = (64 + process % 128).to_be_bytes();
-    let [_, _, _, second] = (process / 128 % 256).to_be_bytes();
-    let [_, _, _, last] = (1 + call).to_be_bytes();
-    Ipv4Addr::new(127, first, second, last)
+    let [_, _, _, second_octet] = (64 + process % 128).to_be_bytes();
+    let [_, _, _, third_octet] = (process / 128 % 256).to_be_bytes();
+    let [_, _, _, fourth_octet] = (1 + call).to_be_bytes();
+    Ipv4Addr::new(127, second_octet, third_octet, fourth_octet)
 }
--- a/crates/filbertgrade-standins/src/node/store.rs
+++ b/crates/filbertgrade-standins/src/node/store.rs
@@ -1,4 +1,6 @@
-//! A stand-in for the platform's metadata store.
+//! A stand-in for the platform's metadata store, with its HTTP interface and with faults.
+//!
+//! Supports lists, watches (long polls for the changes after a revision) and conditional writes.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -18,36 +20,40 @@
 
 use crate::common::lock;
 
-/// What the store does wrong.
+/// Fault of the store, for all its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It takes calls and does not answer.
+    /// Accepts calls and never responds.
     Unresponsive,
-    /// It refuses calls.
+    /// Refuses calls with status 503.
     Busy,
 }
 
-/// The store.
+/// A running store. Clones share its objects.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Where it takes calls.
+    /// Address that it accepts calls on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
+    /// Revision of the last change; wakes watches.
     changed: watch::Sender<u64>,
     fault: watch::Sender<StoreFault>,
 }
 
 #[derive(Debug, Default)]
 struct State {
+    /// Revision and spec of each object, by kind and name.
     objects: BTreeMap<(String, String), (u64, Value)>,
-    /// Revision, kind, object and whether it was removed.
+    /// Changes: revision, kind, object and whether it was deleted.
     log: Vec<(u64, String, Value, bool)>,
+    /// Revision of the last change.
     revision: u64,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
-    calls: u64,
+    /// Last revision whose change was discarded from `log`. A watch from an earlier revision fails
+    /// with status 410.
+    discarded_revision: u64,
+    full_cost_calls: u64,
 }
 
 impl Store {
@@ -55,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Returns an error if no port can be bound.
     pub async fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let store = Self {
@@ -70,7 +76,7 @@
                 let store = serving.clone();
                 let service = service_fn(move |req| {
                     let store = store.clone();
-                    async move { Ok::<_, Infallible>(store.answer(req).await) }
+                    async move { Ok::<_, Infallible>(store.handle(req).await) }
                 });
                 tokio::spawn(
                     hyper::server::conn::http1::Builder::new()
@@ -81,14 +87,15 @@
         Ok(store)
     }
 
-    /// Begins or ends a fault.
+    /// Sets or clears a fault. It also affects watches that are waiting.
     pub fn set_fault(&self, fault: StoreFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Calls that cost their full price.
+    /// Returns the number of calls so far, without reads that accept stale results, since these
+    /// cost only a tenth.
     pub fn full_cost_calls(&self) -> u64 {
-        lock(&self.state).calls
+        lock(&self.state).full_cost_calls
     }
 
     /// Creates or replaces an object.
@@ -104,7 +111,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Removes an object. Returns false when there was none.
+    /// Removes an object. Returns false if there was none.
     pub fn remove(&self, kind: &str, name: &str) -> bool {
         let mut state = lock(&self.state);
         let key = (kind.to_owned(), name.to_owned());
@@ -120,35 +127,37 @@
         true
     }
 
-    /// Forgets all changes, so that watches have to begin anew.
+    /// Discards the history of changes, so that watches have to list the objects again.
     pub fn forget_history(&self) {
         let mut state = lock(&self.state);
-        state.forgotten = state.revision;
+        state.discarded_revision = state.revision;
         state.log.clear();
     }
 
-    /// Names of the objects of a kind.
+    /// Returns the names of all objects of a kind.
     pub fn names(&self, kind: &str) -> Vec<String> {
         let state = lock(&self.state);
         let of_kind = state.objects.keys().filter(|(k, _)| k == kind);
         of_kind.map(|(_, name)| name.clone()).collect()
     }
 
+    /// Returns the revision of an object, or `None` if it does not exist.
     fn revision_of(&self, kind: &str, name: &str) -> Option<u64> {
         let key = (kind.to_owned(), name.to_owned());
         let state = lock(&self.state);
         state.objects.get(&key).map(|(revision, _)| *revision)
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
-        // Reads that may be stale cost a tenth.
-        let is_stale = |query: &str| query.split('&').any(|part| part == "stale-ok=1");
-        if !req.uri().query().is_some_and(is_stale) {
-            lock(&self.state).calls += 1;
+    /// Handles a call, subject to the current fault.
+    async fn handle(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
+        // Reads that accept stale results cost a tenth and are not counted.
+        let accepts_stale = |query: &str| query.split('&').any(|part| part == "stale-ok=1");
+        if !req.uri().query().is_some_and(accepts_stale) {
+            lock(&self.state).full_cost_calls += 1;
         }
         let mut fault = self.fault.subscribe();
-        let now = *fault.borrow_and_update();
-        match now {
+        let current = *fault.borrow_and_update();
+        match current {
             StoreFault::None => {}
             StoreFault::Busy => return reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
             StoreFault::Unresponsive => std::future::pending().await,
@@ -177,15 +186,15 @@
         if parts.method == Method::GET {
             let watch = query("watch").and_then(|revision| revision.parse().ok());
             let wait = query("wait-ms").and_then(|ms| ms.parse().ok()).unwrap_or(0);
-            let answer = self.read(&kind, watch, Duration::from_millis(wait));
-            // A call that waits is lost with the store, or refused by it.
-            let lost = async {
-                let fault = fault.wait_for(|t| *t != StoreFault::None).await;
+            let response = self.read(&kind, watch, Duration::from_millis(wait));
+            // A fault that starts while a watch waits affects it like a new call.
+            let interrupted = async {
+                let fault = fault.wait_for(|fault| *fault != StoreFault::None).await;
                 fault.map_or(StoreFault::None, |fault| *fault)
             };
             return tokio::select! {
-                answer = answer => answer,
-                fault = lost => match fault {
+                response = response => response,
+                fault = interrupted => match fault {
                     StoreFault::Busy => reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})),
                     _ => std::future::pending().await,
                 },
@@ -195,6 +204,8 @@
         self.write(&parts.method, &kind, name, revision, &body)
     }
 
+    /// Returns the objects of a kind, or with `watch` the changes after that revision. A watch
+    /// waits up to `wait` for the first change.
     async fn read(&self, kind: &str, watch: Option<u64>, wait: Duration) -> Response<Full<Bytes>> {
         let Some(after) = watch else {
             let state = lock(&self.state);
@@ -210,25 +221,27 @@
         loop {
             {
                 let state = lock(&self.state);
-                if after < state.forgotten {
+                if after < state.discarded_revision {
                     return reply(StatusCode::GONE, &json!({}));
                 }
                 let newer = state
                     .log
                     .iter()
-                    .filter(|(at, k, _, _)| *at > after && k == kind);
+                    .filter(|(revision, k, _, _)| *revision > after && k == kind);
                 let events: Vec<Value> = newer
                     .map(|(_, _, object, deleted)| json!({"object": object, "deleted": deleted}))
                     .collect();
                 if !events.is_empty() || tokio::time::Instant::now() >= deadline {
-                    let answer = json!({"events": events, "as-of": state.revision});
-                    return reply(StatusCode::OK, &answer);
+                    let changes = json!({"events": events, "as-of": state.revision});
+                    return reply(StatusCode::OK, &changes);
                 }
             }
             let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
         }
     }
 
+    /// Creates, replaces or deletes an object. With `revision`, an existing object is changed only
+    /// if that is its current revision.
     fn write(
         &self,
         method: &Method,
@@ -238,15 +251,16 @@
         body: &Bytes,
     ) -> Response<Full<Bytes>> {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
-        let named = body["metadata"]["name"].as_str().map(str::to_owned);
-        let Some(name) = name.or(named) else {
+        let name_in_body = body["metadata"]["name"].as_str().map(str::to_owned);
+        let Some(name) = name.or(name_in_body) else {
             return reply(StatusCode::BAD_REQUEST, &json!({}));
         };
-        let moved = revision.is_some_and(|wanted| self.revision_of(kind, &name) != Some(wanted));
+        let conflicts =
+            revision.is_some_and(|expected| self.revision_of(kind, &name) != Some(expected));
         let exists = self.names(kind).contains(&name);
         let status = match (method.as_str(), exists) {
             ("POST", true) => StatusCode::CONFLICT,
-            (_, true) if moved => StatusCode::CONFLICT,
+            (_, true) if conflicts => StatusCode::CONFLICT,
             ("PUT", false) => StatusCode::NOT_FOUND,
             ("DELETE", _) if !self.remove(kind, &name) => StatusCode::NOT_FOUND,
             ("DELETE", _) => StatusCode::OK,
@@ -259,13 +273,14 @@
     }
 }
 
+/// Returns an object in the format of the platform.
 fn object(name: &str, revision: u64, spec: &Value) -> Value {
     json!({"metadata": {"name": name, "revision": revision, "created": 1, "finalizers": [], "deleting": false},
            "spec": spec, "status": null})
 }
 
 fn reply(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(body.to_string().into()));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(Full::new(body.to_string().into()));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/filbertgrade-standins/src/soak/client.rs
+++ b/crates/filbertgrade-standins/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps its connection until the other side ends it.
+//! HTTP client of the simulated callers, with connections that are kept until the VM closes them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,65 +7,75 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::promises::Ended;
+use super::promises::RequestOutcome;
 use crate::node::endpoint::header;
 
-/// Time that a caller gives a request.
-pub(super) const DEADLINE: Duration = Duration::from_secs(3);
+/// Time after which a caller gives up on a request. It is sent as the deadline of the request.
+pub(super) const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Time for a connection.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection, and for a whole look-up.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An open connection to a VM.
 #[derive(Debug)]
 pub(super) struct Connection {
     stream: TcpStream,
+    /// Bytes that were received and not parsed yet.
     buf: Vec<u8>,
 }
 
-/// What a request asks for.
+/// Contents of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Question<'a> {
+pub(super) struct CallerRequest<'a> {
     pub(super) id: &'a str,
     pub(super) path: &'a str,
-    pub(super) object: u32,
+    /// Requests with the same affinity key should be served by the same endpoint.
+    pub(super) affinity_key: u32,
+    /// API key.
     pub(super) key: &'a str,
 }
 
 impl Connection {
+    /// Opens a connection. Fails if that takes longer than [`CONNECT_TIMEOUT`].
     pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
-        let stream = tokio::time::timeout(CONNECT_TIME, TcpStream::connect(address)).await??;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         Ok(Self {
             stream,
             buf: Vec::new(),
         })
     }
 
-    /// Sends a request and reads its answer. The connection can be used again
-    /// when it is handed back.
-    pub(super) async fn ask(mut self, question: &Question<'_>) -> (Ended, Option<Self>) {
-        let none = Ended {
+    /// Sends a request and reads its response. Returns the connection if it can be used again.
+    pub(super) async fn send(
+        mut self,
+        request: &CallerRequest<'_>,
+    ) -> (RequestOutcome, Option<Self>) {
+        let no_response = RequestOutcome {
             status: 0,
-            own: false,
+            is_valid: false,
         };
-        match tokio::time::timeout(DEADLINE, self.exchange(question)).await {
-            Ok(Ok((ended, true))) => (ended, Some(self)),
-            Ok(Ok((ended, false))) => (ended, None),
-            Ok(Err(_)) | Err(_) => (none, None),
+        match tokio::time::timeout(REQUEST_DEADLINE, self.exchange(request)).await {
+            Ok(Ok((outcome, true))) => (outcome, Some(self)),
+            Ok(Ok((outcome, false))) => (outcome, None),
+            Ok(Err(_)) | Err(_) => (no_response, None),
         }
     }
 
-    async fn exchange(&mut self, question: &Question<'_>) -> io::Result<(Ended, bool)> {
-        let Question {
+    /// Sends a request and reads its response. The flag is true if the connection stays open.
+    async fn exchange(
+        &mut self,
+        request: &CallerRequest<'_>,
+    ) -> io::Result<(RequestOutcome, bool)> {
+        let CallerRequest {
             id,
             path,
-            object,
+            affinity_key,
             key,
-        } = question;
-        let millis = DEADLINE.as_millis();
+        } = request;
+        let millis = REQUEST_DEADLINE.as_millis();
         let head = format!(
             "GET {path} HTTP/1.1\r\nhost: shop.example\r\nx-filbertgrade-request-id: {id}\r\n\
-             x-filbertgrade-affinity-key: {object}\r\nx-filbertgrade-deadline-ms: {millis}\r\n\
+             x-filbertgrade-affinity-key: {affinity_key}\r\nx-filbertgrade-deadline-ms: {millis}\r\n\
              authorization: Bearer {key}\r\n\r\n"
         );
         self.stream.write_all(head.as_bytes()).await?;
@@ -75,17 +85,24 @@
         let length: usize = header(&head, "content-length").parse().unwrap_or(0);
         while self.buf.len() < length {
             if self.stream.read_buf(&mut self.buf).await? == 0 {
-                return Ok((Ended { status, own: false }, false));
+                return Ok((
+                    RequestOutcome {
+                        status,
+                        is_valid: false,
+                    },
+                    false,
+                ));
             }
         }
         let body = String::from_utf8_lossy(&self.buf[..length]).into_owned();
         self.buf.drain(..length);
-        let signed = !header(&head, "x-filbertgrade-server-seal").is_empty();
-        let own = signed && body.ends_with(&format!(" to {id}"));
-        let open = header(&head, "connection") != "close";
-        Ok((Ended { status, own }, open))
+        let is_signed = !header(&head, "x-filbertgrade-server-seal").is_empty();
+        let is_valid = is_signed && body.ends_with(&format!(" to {id}"));
+        let stays_open = header(&head, "connection") != "close";
+        Ok((RequestOutcome { status, is_valid }, stays_open))
     }
 
+    /// Reads a response head and returns it in lower case.
     async fn read_head(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buf.windows(4).position(|part| part == b"\r\n\r\n") {
@@ -100,7 +117,8 @@
     }
 }
 
-/// Asks a VM where callers of a region should connect.
+/// Queries the look-up listener of a VM for the addresses that callers of a region should connect
+/// to.
 pub(super) async fn look_up(address: SocketAddr, region: &str) -> io::Result<Vec<SocketAddr>> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
@@ -113,11 +131,11 @@
         stream.read_to_string(&mut text).await?;
         io::Result::Ok(text)
     };
-    let text = tokio::time::timeout(CONNECT_TIME, exchange).await??;
+    let text = tokio::time::timeout(CONNECT_TIMEOUT, exchange).await??;
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let body: serde_json::Value = serde_json::from_str(body)?;
-    let list = body["addrs"].as_array().into_iter().flatten();
-    Ok(list
+    let addresses = body["addrs"].as_array().into_iter().flatten();
+    Ok(addresses
         .filter_map(|address| address.as_str()?.parse().ok())
         .collect())
 }
--- a/crates/filbertgrade-standins/src/soak/fleet.rs
+++ b/crates/filbertgrade-standins/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Nodes as separate processes, with a proxy between each of them and the store.
+//! Node processes of a run. Each reaches the store through a proxy of its own.
 
 use std::fs::File;
 use std::io;
@@ -12,93 +12,110 @@
 
 use crate::proxy::FaultProxy;
 
-/// Regions and their failure domains.
+/// Failure domains with their regions. VMs and endpoints are assigned to them in turn.
 pub(super) const DOMAINS: [(&str, &str); 3] = [
     ("north-a", "north"),
     ("west-a", "west"),
     ("south-a", "south"),
 ];
 
-/// Ports of the first VM; those of the next one are `PORTS_APART` higher.
-const CALLERS: u16 = 8_000;
-const LOOKUPS: u16 = 8_001;
-const READY: u16 = 8_002;
-const PEERS: u16 = 8_003;
-const METRICS: u16 = 8_004;
-const PORTS_APART: u16 = 10;
+// Ports of the first VM. Those of each further VM are `PORTS_PER_VM` higher, because all VMs of a
+// run share one loopback address.
+const CALLER_PORT: u16 = 8_000;
+const LOOKUP_PORT: u16 = 8_001;
+const READY_PORT: u16 = 8_002;
+const PEER_PORT: u16 = 8_003;
+const METRICS_PORT: u16 = 8_004;
+const PORTS_PER_VM: u16 = 10;
 
-/// Time in which a process that is told to stop must have ended.
-pub(super) const STOP_TIME: Duration = Duration::from_secs(6);
+/// Time within which a process must exit after SIGTERM.
+pub(super) const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// One VM: its addresses, its way to the store and its process.
+/// A VM: its addresses, its proxy to the store and its process.
 #[derive(Debug)]
 pub(super) struct Vm {
     pub(super) name: String,
-    pub(super) callers: SocketAddr,
-    pub(super) lookups: SocketAddr,
-    pub(super) store: FaultProxy,
+    pub(super) caller_address: SocketAddr,
+    pub(super) lookup_address: SocketAddr,
+    /// Proxy between this VM and the store.
+    pub(super) store_proxy: FaultProxy,
+    /// Settings file of the process.
     settings: PathBuf,
-    metrics: u16,
-    node: PathBuf,
-    logs: PathBuf,
-    starts: usize,
+    metrics_port: u16,
+    node_program: PathBuf,
+    log_dir: PathBuf,
+    /// Number of starts so far; each writes a log file of its own.
+    start_count: usize,
+    /// `None` while no process runs.
     child: Option<Child>,
 }
 
 impl Vm {
-    /// Prepares a VM; its process is not started.
+    /// Writes the settings of a VM and binds its proxy. The process is not started.
     pub(super) async fn new(
         number: usize,
         ip: Ipv4Addr,
-        store: SocketAddr,
-        node: &Path,
-        logs: &Path,
+        store_address: SocketAddr,
+        node_program: &Path,
+        log_dir: &Path,
     ) -> io::Result<Self> {
-        let first = PORTS_APART * u16::try_from(number).map_err(io::Error::other)?;
-        let [callers, lookups, ready, peers, metrics] =
-            [CALLERS, LOOKUPS, READY, PEERS, METRICS].map(|port| port + first);
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let store = FaultProxy::bind(any, store).await?;
+        let port_offset = PORTS_PER_VM * u16::try_from(number).map_err(io::Error::other)?;
+        let [
+            caller_port,
+            lookup_port,
+            ready_port,
+            peer_port,
+            metrics_port,
+        ] = [
+            CALLER_PORT,
+            LOOKUP_PORT,
+            READY_PORT,
+            PEER_PORT,
+            METRICS_PORT,
+        ]
+        .map(|port| port + port_offset);
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let store_proxy = FaultProxy::bind(any_port, store_address).await?;
         let name = format!("vm-{number}");
         let (domain, region) = DOMAINS[number % DOMAINS.len()];
         let zones: String = DOMAINS
             .iter()
             .map(|(domain, region)| format!("{domain} = \"{region}\"\n"))
             .collect();
-        let settings = logs.join(format!("{name}.toml"));
+        let settings = log_dir.join(format!("{name}.toml"));
         let text = format!(
             "node-name = \"{name}\"\nip = \"{ip}\"\nzone = \"{domain}\"\nregion = \"{region}\"\n\
-             internal-ports = [{peers}, {peers}]\n[zones]\n{zones}\
-             [listen]\nfront = \"{ip}:{callers}\"\ndirectory = \"{ip}:{lookups}\"\n\
-             ready = \"{ip}:{ready}\"\n\
+             internal-ports = [{peer_port}, {peer_port}]\n[zones]\n{zones}\
+             [listen]\nfront = \"{ip}:{caller_port}\"\ndirectory = \"{ip}:{lookup_port}\"\n\
+             ready = \"{ip}:{ready_port}\"\n\
              [bounds]\ngrace-s = 6\nrevoke-s = 5\nretry-budget-ratio = 0.2\nbudget-slack = 20\n\
              quota-slack = 20\n[platform]\naddress = \"{}\"\n",
-            store.addr()
+            store_proxy.addr()
         );
         std::fs::write(&settings, text)?;
         Ok(Self {
             name,
-            callers: SocketAddr::from((ip, callers)),
-            lookups: SocketAddr::from((ip, lookups)),
-            store,
+            caller_address: SocketAddr::from((ip, caller_port)),
+            lookup_address: SocketAddr::from((ip, lookup_port)),
+            store_proxy,
             settings,
-            metrics,
-            node: node.to_owned(),
-            logs: logs.to_owned(),
-            starts: 0,
+            metrics_port,
+            node_program: node_program.to_owned(),
+            log_dir: log_dir.to_owned(),
+            start_count: 0,
             child: None,
         })
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process unless it is running, with a new log file.
     pub(super) fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
         }
-        self.starts += 1;
-        let log = File::create(self.log_path(self.starts))?;
-        let child = Command::new(&self.node)
-            .args(["node", "--metrics-port", &self.metrics.to_string()])
+        self.start_count += 1;
+        let log = File::create(self.log_path(self.start_count))?;
+        let child = Command::new(&self.node_program)
+            .args(["node", "--metrics-port", &self.metrics_port.to_string()])
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
@@ -110,7 +127,7 @@
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it is running.
     pub(super) fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         let pid = id
@@ -119,12 +136,12 @@
         if let Some(pid) = pid
             && let Err(error) = kill_process(pid, signal)
         {
-            // It has just ended by itself.
+            // The process has just exited.
             log::debug!("event=signal_not_sent vm={} error={error}", self.name);
         }
     }
 
-    /// Kills the process, if it runs.
+    /// Kills the process if it is running, and waits for its end.
     pub(super) async fn kill(&mut self) {
         if let Some(mut child) = self.child.take()
             && let Err(error) = child.kill().await
@@ -133,17 +150,19 @@
         }
     }
 
-    /// The process, whose end the caller waits for.
+    /// Hands over the process to a caller that waits for its end. From then on the VM can be
+    /// started again.
     pub(super) fn take_child(&mut self) -> Option<Child> {
         self.child.take()
     }
 
-    /// Log files of all starts so far.
+    /// Returns the log files of all starts so far.
     pub(super) fn logs(&self) -> impl Iterator<Item = PathBuf> + '_ {
-        (1..=self.starts).map(|start| self.log_path(start))
+        (1..=self.start_count).map(|start| self.log_path(start))
     }
 
+    /// Returns the log file of a start, counted from one.
     fn log_path(&self, start: usize) -> PathBuf {
-        self.logs.join(format!("{}.{start}.log", self.name))
+        self.log_dir.join(format!("{}.{start}.log", self.name))
     }
 }
--- a/crates/filbertgrade-standins/src/soak/inject.rs
+++ b/crates/filbertgrade-standins/src/soak/inject.rs
@@ -1,4 +1,4 @@
-//! Begins and ends faults as planned.
+//! Injects the planned faults into a run and ends them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,53 +7,53 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-use super::fleet::{DOMAINS, STOP_TIME, Vm};
+use super::fleet::{DOMAINS, STOP_TIMEOUT, Vm};
 use super::plan::{Fault, Plan, PlannedFault};
-use super::promises::Span;
-use super::{COLD_TIME, ENDPOINTS, World};
+use super::promises::EndpointPeriod;
+use super::{COLD_DURATION, ENDPOINTS, RunState};
 use crate::common::lock;
 use crate::node::endpoint::EndpointBehavior;
 use crate::node::store::StoreFault;
 use crate::proxy::{self, Direction};
 
-/// Delay of a slow way.
-const SLOW: Duration = Duration::from_millis(400);
+/// Delay that a proxy adds to a slow direction.
+const SLOW_DELAY: Duration = Duration::from_millis(400);
 
-/// Time after a fault of the store in which a VM may not have caught up.
-const CATCH_UP: Duration = Duration::from_secs(4);
+/// Time after a fault in which a VM may not have received all changes in the store yet.
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
-/// Changes of the configuration in a row.
-const CHANGES: u32 = 5;
+/// Number of versions that [`Fault::Reconfigure`] publishes.
+const RECONFIGURATIONS: u32 = 5;
 
-/// Time between them.
-const CHANGE_PAUSE: Duration = Duration::from_millis(80);
+/// Time between two of these versions.
+const RECONFIGURATION_INTERVAL: Duration = Duration::from_millis(80);
 
 type SharedVm = Arc<Mutex<Vm>>;
 
-/// Starts a task for each fault.
-pub(super) fn start(world: &Arc<World>, vms: &[SharedVm], plan: &Plan) -> Vec<JoinHandle<()>> {
-    let began = Instant::now();
+/// Starts a task for each fault. Each prints its fault when it starts.
+pub(super) fn start(state: &Arc<RunState>, vms: &[SharedVm], plan: &Plan) -> Vec<JoinHandle<()>> {
+    let started_at = Instant::now();
     plan.faults
         .iter()
         .map(|planned| {
             let planned = planned.clone();
-            let world = Arc::clone(world);
+            let state = Arc::clone(state);
             let vms = vms.to_vec();
             tokio::spawn(async move {
-                tokio::time::sleep_until((began + planned.at).into()).await;
+                tokio::time::sleep_until((started_at + planned.at).into()).await;
                 println!("{planned}");
-                note_out_of_touch(&world, &planned);
-                inject(&world, &vms, &planned).await;
+                record_stale_period(&state, &planned);
+                inject(&state, &vms, &planned).await;
             })
         })
         .collect()
 }
 
-/// VMs may not hear of changes while the store or their way to it fails, and
-/// not while they are suspended.
-fn note_out_of_touch(world: &World, planned: &PlannedFault) {
+/// Records the period of a fault in which a VM may not receive changes in the store: the store or
+/// the connection to it fails, or the process of the VM is suspended or down.
+fn record_stale_period(state: &RunState, planned: &PlannedFault) {
     let now = Instant::now();
-    let touches = matches!(
+    let delays_changes = matches!(
         planned.fault,
         Fault::StoreSilent
             | Fault::StoreBusy
@@ -66,13 +66,14 @@
             | Fault::KillVm(_)
             | Fault::StopVm(_)
     );
-    if touches {
-        let span = (now, now + planned.length + CATCH_UP);
-        lock(&world.ledger).out_of_touch.push(span);
+    if delays_changes {
+        let period = (now, now + planned.length + CATCH_UP_TIME);
+        lock(&state.history).stale_periods.push(period);
     }
 }
 
-async fn inject(world: &World, vms: &[SharedVm], planned: &PlannedFault) {
+/// Starts a fault, waits for its length and ends it.
+async fn inject(state: &RunState, vms: &[SharedVm], planned: &PlannedFault) {
     let length = planned.length;
     match planned.fault {
         Fault::KillVm(vm) => {
@@ -85,54 +86,54 @@
             tokio::time::sleep(length).await;
             vms[vm].lock().await.signal(Signal::CONT);
         }
-        Fault::StopVm(vm) => stop(world, &vms[vm], length).await,
-        Fault::StoreSilent => store_trouble(world, StoreFault::Unresponsive, length).await,
-        Fault::StoreBusy => store_trouble(world, StoreFault::Busy, length).await,
-        Fault::StoreForgets => world.store.forget_history(),
+        Fault::StopVm(vm) => stop(state, &vms[vm], length).await,
+        Fault::StoreSilent => inject_store_fault(state, StoreFault::Unresponsive, length).await,
+        Fault::StoreBusy => inject_store_fault(state, StoreFault::Busy, length).await,
+        Fault::StoreForgets => state.store.forget_history(),
         Fault::StoreSlow(vm) => {
             let slow = proxy::Fault {
-                delay: SLOW,
+                delay: SLOW_DELAY,
                 ..proxy::Fault::default()
             };
-            store_fault(&vms[vm], slow, length).await;
+            inject_store_link_fault(&vms[vm], slow, length).await;
         }
         Fault::StoreOneWay(vm) => {
-            let silent = proxy::Fault {
+            let stalled = proxy::Fault {
                 silent: true,
                 ..proxy::Fault::default()
             };
-            store_fault(&vms[vm], silent, length).await;
+            inject_store_link_fault(&vms[vm], stalled, length).await;
         }
         Fault::StoreRefuses(vm) => {
-            vms[vm].lock().await.store.set_refuse(true);
-            vms[vm].lock().await.store.cut_open();
+            vms[vm].lock().await.store_proxy.set_refuse(true);
+            vms[vm].lock().await.store_proxy.cut_open();
             tokio::time::sleep(length).await;
-            vms[vm].lock().await.store.set_refuse(false);
+            vms[vm].lock().await.store_proxy.set_refuse(false);
         }
-        Fault::StoreResets(vm) => vms[vm].lock().await.store.cut_open(),
+        Fault::StoreResets(vm) => vms[vm].lock().await.store_proxy.cut_open(),
         Fault::Endpoint(endpoint, behavior) => {
-            world.endpoints[endpoint].set_behavior(behavior);
+            state.endpoints[endpoint].set_behavior(behavior);
             tokio::time::sleep(length).await;
-            world.endpoints[endpoint].set_behavior(EndpointBehavior::Serves);
+            state.endpoints[endpoint].set_behavior(EndpointBehavior::Serves);
         }
-        Fault::EndpointResets(endpoint) => world.proxies[endpoint].cut_open(),
-        Fault::EndpointSilent(endpoint) => world.proxies[endpoint].freeze_open(),
+        Fault::EndpointResets(endpoint) => state.proxies[endpoint].cut_open(),
+        Fault::EndpointSilent(endpoint) => state.proxies[endpoint].freeze_open(),
         Fault::EndpointSlow(endpoint) => {
             let slow = proxy::Fault {
-                delay: SLOW,
+                delay: SLOW_DELAY,
                 ..proxy::Fault::default()
             };
-            world.proxies[endpoint].set_fault(Direction::ToServer, slow);
+            state.proxies[endpoint].set_fault(Direction::ToServer, slow);
             tokio::time::sleep(length).await;
-            world.proxies[endpoint].set_fault(Direction::ToServer, proxy::Fault::default());
+            state.proxies[endpoint].set_fault(Direction::ToServer, proxy::Fault::default());
         }
-        Fault::Drain(endpoint) => drain(world, endpoint, length).await,
-        Fault::Evacuate(domain) => evacuate(world, domain, length).await,
-        Fault::WithdrawKey => world.withdraw_key(),
+        Fault::Drain(endpoint) => drain(state, endpoint, length).await,
+        Fault::Evacuate(domain) => evacuate(state, domain, length).await,
+        Fault::WithdrawKey => state.withdraw_key(),
         Fault::Reconfigure => {
-            for _ in 0..CHANGES {
-                world.configure();
-                tokio::time::sleep(CHANGE_PAUSE).await;
+            for _ in 0..RECONFIGURATIONS {
+                state.publish_configuration();
+                tokio::time::sleep(RECONFIGURATION_INTERVAL).await;
             }
         }
     }
@@ -141,14 +142,16 @@
 async fn restart(vm: &SharedVm) {
     let mut vm = vm.lock().await;
     if let Err(error) = vm.start() {
-        println!("{} is not started: {error}", vm.name);
+        println!("{} could not be started again: {error}", vm.name);
     }
 }
 
-async fn stop(world: &World, vm: &SharedVm, length: Duration) {
+/// Stops the process of a VM with SIGTERM, records it if it does not exit with success in time,
+/// and starts it again after `length`.
+async fn stop(state: &RunState, vm: &SharedVm, length: Duration) {
     let (name, child) = {
         let mut vm = vm.lock().await;
-        // A paused process takes the signal when it runs again.
+        // A suspended process handles SIGTERM only after SIGCONT.
         vm.signal(Signal::CONT);
         vm.signal(Signal::TERM);
         (vm.name.clone(), vm.take_child())
@@ -156,62 +159,71 @@
     let Some(mut child) = child else {
         return;
     };
-    let began = Instant::now();
-    let fault = match tokio::time::timeout(STOP_TIME, child.wait()).await {
+    let signalled_at = Instant::now();
+    let failure = match tokio::time::timeout(STOP_TIMEOUT, child.wait()).await {
         Ok(Ok(status)) if status.success() => None,
         Ok(Ok(status)) => Some(format!("{name} ended with {status}")),
         Ok(Err(error)) => Some(format!("{name}: {error}")),
-        Err(_) => Some(format!("{name} runs {:?} after its stop", began.elapsed())),
+        Err(_) => Some(format!(
+            "{name} runs {:?} after its stop",
+            signalled_at.elapsed()
+        )),
     };
-    if let Some(fault) = fault {
-        lock(&world.ledger).bad_stops.push(fault);
+    if let Some(failure) = failure {
+        lock(&state.history).failed_stops.push(failure);
         if let Err(error) = child.kill().await {
-            println!("{name} is not killed: {error}");
+            println!("{name} could not be killed: {error}");
         }
     }
     tokio::time::sleep(length).await;
     restart(vm).await;
 }
 
-async fn store_trouble(world: &World, trouble: StoreFault, length: Duration) {
-    world.store.set_fault(trouble);
+async fn inject_store_fault(state: &RunState, fault: StoreFault, length: Duration) {
+    state.store.set_fault(fault);
     tokio::time::sleep(length).await;
-    world.store.set_fault(StoreFault::None);
+    state.store.set_fault(StoreFault::None);
 }
 
-async fn store_fault(vm: &SharedVm, fault: proxy::Fault, length: Duration) {
+/// Injects a fault into the direction from the store to a VM.
+async fn inject_store_link_fault(vm: &SharedVm, fault: proxy::Fault, length: Duration) {
     let set = |fault| async move {
-        vm.lock().await.store.set_fault(Direction::ToClient, fault);
+        vm.lock()
+            .await
+            .store_proxy
+            .set_fault(Direction::ToClient, fault);
     };
     set(fault).await;
     tokio::time::sleep(length).await;
     set(proxy::Fault::default()).await;
 }
 
-async fn drain(world: &World, endpoint: usize, length: Duration) {
-    world.register(endpoint, "draining", Duration::ZERO);
-    world.begin_leaving(endpoint);
+/// Registers an endpoint as draining, and after `length` as ready and cold.
+async fn drain(state: &RunState, endpoint: usize, length: Duration) {
+    state.register(endpoint, "draining", Duration::ZERO);
+    state.start_leaving_period(endpoint);
     tokio::time::sleep(length).await;
-    world.end_leaving(endpoint);
+    state.end_leaving_period(endpoint);
     let from = Instant::now();
-    lock(&world.ledger).cold.push(Span {
+    lock(&state.history).cold_periods.push(EndpointPeriod {
         endpoint,
         from,
-        until: Some(from + COLD_TIME),
+        until: Some(from + COLD_DURATION),
     });
-    world.register(endpoint, "ready", COLD_TIME);
+    state.register(endpoint, "ready", COLD_DURATION);
 }
 
-async fn evacuate(world: &World, domain: usize, length: Duration) {
+/// Evacuates a failure domain for `length`.
+async fn evacuate(state: &RunState, domain: usize, length: Duration) {
     let name = DOMAINS[domain].0;
-    let within = || (0..ENDPOINTS).filter(|number| number % DOMAINS.len() == domain);
-    world.store.put("evacuations", name, serde_json::json!({}));
-    for endpoint in within() {
-        world.begin_leaving(endpoint);
+    let endpoints = || (0..ENDPOINTS).filter(|number| number % DOMAINS.len() == domain);
+    state.store.put("evacuations", name, serde_json::json!({}));
+    for endpoint in endpoints() {
+        state.start_leaving_period(endpoint);
     }
     tokio::time::sleep(length).await;
-    for endpoint in within() {
-        world.end_leaving(endpoint);
+    for endpoint in endpoints() {
+        state.end_leaving_period(endpoint);
     }
-    world.store.remove("evacuations", name);
+    state.store.remove("evacuations", name);
 }
--- a/crates/filbertgrade-standins/src/soak/mod.rs
+++ b/crates/filbertgrade-standins/src/soak/mod.rs
@@ -1,10 +1,10 @@
-//! A randomized run of real nodes under faults from outside, with the promises
-//! to callers, backend servers and operators checked while it runs.
+//! Runs real nodes under random faults and checks the promises to callers, backend servers and
+//! operators.
 //!
-//! Nodes are separate processes. Faults come from proxies between nodes, store
-//! and endpoints, from signals, from the store and endpoints themselves, and
-//! from operators. Clocks cannot be shifted without privileges, and nodes do
-//! not use the time of day.
+//! Nodes are separate processes. Faults are injected from outside: by proxies in front of the
+//! store and the endpoints, by signals to the processes, by the store and the endpoints themselves,
+//! and as actions of operators. The clock is never shifted: that takes privileges, and nodes do not
+//! use the time of day.
 
 mod client;
 mod fleet;
@@ -23,47 +23,49 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use self::client::{Connection, Question};
+use self::client::{CallerRequest, Connection};
 use self::fleet::{DOMAINS, Vm};
 pub use self::plan::{Fault, Plan, PlannedFault};
-use self::promises::{Ledger, Ran, Sent, Span, TeamLimit, Violation};
+use self::promises::{EndpointPeriod, History, RequestRun, SentRequest, TeamLimit, Violation};
 use crate::common::lock;
 use crate::node::endpoint::{Endpoint, header};
 use crate::node::store::Store;
 use crate::node::unique_loopback_address;
 use crate::proxy::FaultProxy;
 
-/// Endpoints of a run.
+/// Number of endpoints of a run.
 const ENDPOINTS: usize = 9;
 
-/// Callers that send one request after the other.
+/// Number of concurrent callers. Each sends one request at a time.
 const CALLERS: usize = 12;
 
-/// Mean pause of a caller between two requests.
-const PAUSE: Duration = Duration::from_millis(120);
+/// Mean time for which a caller waits before each request.
+const MEAN_CALLER_PAUSE: Duration = Duration::from_millis(120);
 
-/// Part of a caller's requests after which it opens another connection.
-const LEAVE_PART: f64 = 0.05;
+/// Probability that a caller closes its connection before a request and opens another one.
+const RECONNECT_PROBABILITY: f64 = 0.05;
 
-/// Time of work for a request at an endpoint.
-const WORK: Duration = Duration::from_millis(15);
+/// Time for which an endpoint works on a request.
+const SERVICE_TIME: Duration = Duration::from_millis(15);
 
-/// Requests a second that a cold endpoint takes.
+/// Rate of a cold endpoint in requests per second.
 const COLD_RATE: f64 = 3.5;
 
-/// Time for which an endpoint is cold.
-const COLD_TIME: Duration = Duration::from_secs(3);
+/// Time for which an endpoint is cold after it returns from a drain.
+const COLD_DURATION: Duration = Duration::from_secs(3);
 
-/// How often the promises are checked.
+/// Interval between two checks of the promises.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time before the end from which all must be served again.
-const JUDGED_END: Duration = Duration::from_secs(4);
+/// Length of the period at the end of a run in which requests must succeed again. It is shorter
+/// than the fault-free time at the end of the plan, so that the fleet has time to recover.
+const RECOVERY_WINDOW: Duration = Duration::from_secs(4);
 
-/// Time for the fleet to come up.
-const START_TIME: Duration = Duration::from_secs(10);
+/// Time within which all VMs must respond to look-ups.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Teams, with their limits. The second one sends more than its limit.
+/// Teams with their limits. Each team sends half of the requests, and the second one exceeds its
+/// limit with them.
 const TEAMS: [(&str, TeamLimit); 2] = [
     (
         "atelier",
@@ -81,53 +83,59 @@
     ),
 ];
 
-/// What to run.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Seed of the plan.
+    /// Seed of the plan and of the callers.
     pub seed: u64,
-    /// Length of the run.
+    /// Length of the run, without the start of the VMs.
     pub length: Duration,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// The program of a node.
+    /// Path of the `filbertgrade` program, which is run as a node.
     pub node: PathBuf,
-    /// Where settings and logs of the processes are left.
+    /// Existing directory for the settings and logs of the processes; they are kept after the run.
     pub logs: PathBuf,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Requests that callers sent.
+    /// Number of requests that callers sent.
     pub sent: usize,
-    /// Requests that were answered with success.
+    /// Number of requests with a response of status 200.
     pub served: usize,
-    /// Requests by status; zero stands for no answer.
+    /// Number of requests by status, in ascending order; status zero means no response.
     pub statuses: Vec<(u16, usize)>,
-    /// Promises that were broken, the first of each.
+    /// The first violation of each broken promise.
     pub violations: Vec<Violation>,
 }
 
-/// State of a run that callers, faults and checks share.
+/// State of a run, shared by callers, faults and checks.
 #[derive(Debug)]
-struct World {
+struct RunState {
     store: Store,
     endpoints: Vec<Endpoint>,
+    /// Proxy in front of each endpoint, whose address is registered.
     proxies: Vec<FaultProxy>,
-    ledger: Mutex<Ledger>,
+    history: Mutex<History>,
+    /// Valid API keys of each team, oldest first.
     keys: Mutex<HashMap<&'static str, Vec<String>>>,
+    /// Number of the newest version of the configuration.
     version: AtomicU64,
+    /// Next number for request ids, registrations and API keys.
     next_id: AtomicU64,
-    /// Runs of each endpoint that are in the ledger.
-    collected: Vec<AtomicUsize>,
+    /// Number of runs of each endpoint that are already in the history.
+    collected_runs: Vec<AtomicUsize>,
 }
 
-/// Runs a plan.
+/// Prints the plan of a seed and runs it. Each fault is printed when it starts, and the first
+/// violation of each promise when it is found.
 ///
 /// # Errors
 ///
-/// Fails when the fleet cannot be started or its logs cannot be read.
+/// Returns an error if the VMs cannot be started, do not become ready in time, or their logs cannot
+/// be read.
 pub async fn run(options: &Options) -> io::Result<Report> {
     let plan = Plan::new(
         options.seed,
@@ -140,40 +148,41 @@
     for fault in &plan.faults {
         println!("  {fault}");
     }
-    let world = Arc::new(World::new().await?);
+    let state = Arc::new(RunState::new().await?);
     let ip = unique_loopback_address();
     let mut vms = Vec::new();
     for number in 0..options.vms {
-        let store = world.store.address;
-        let mut vm = Vm::new(number, ip, store, &options.node, &options.logs).await?;
+        let store_address = state.store.address;
+        let mut vm = Vm::new(number, ip, store_address, &options.node, &options.logs).await?;
         vm.start()?;
         vms.push(vm);
     }
-    wait_until_up(&vms).await?;
-    let callers = start_callers(&world, &vms, options.seed);
+    wait_until_ready(&vms).await?;
+    let callers = start_callers(&state, &vms, options.seed);
     let vms: Vec<_> = vms
         .into_iter()
         .map(|vm| Arc::new(tokio::sync::Mutex::new(vm)))
         .collect();
     let end = Instant::now() + plan.length;
-    lock(&world.ledger).recovered_at = Some(end - JUDGED_END);
-    let faults = inject::start(&world, &vms, &plan);
-    let broken = check_until(&world, end).await;
+    lock(&state.history).recovery_deadline = Some(end - RECOVERY_WINDOW);
+    let faults = inject::start(&state, &vms, &plan);
+    let broken = check_until(&state, end).await;
     for task in callers.into_iter().chain(faults) {
         task.abort();
     }
-    finish(&world, &vms, broken).await
+    finish(&state, &vms, broken).await
 }
 
-/// Checks while the run lasts. Recovery is judged at its end only.
-async fn check_until(world: &World, end: Instant) -> Vec<Violation> {
+/// Checks the promises until `end` and returns the first violation of each. Recovery is judged only
+/// after the run.
+async fn check_until(state: &RunState, end: Instant) -> Vec<Violation> {
     let mut broken: Vec<Violation> = Vec::new();
     while Instant::now() < end {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        world.collect();
-        for violation in lock(&world.ledger).violations() {
-            let known = broken.iter().any(|b| b.promise == violation.promise);
-            if !known && violation.promise != promises::Promise::Recovery {
+        state.collect_runs();
+        for violation in lock(&state.history).violations() {
+            let is_reported = broken.iter().any(|b| b.promise == violation.promise);
+            if !is_reported && violation.promise != promises::Promise::Recovery {
                 println!("BROKEN {violation}");
                 broken.push(violation);
             }
@@ -182,12 +191,13 @@
     broken
 }
 
+/// Stops the VMs, reads the versions from their logs and checks the whole history once more.
 async fn finish(
-    world: &World,
+    state: &RunState,
     vms: &[Arc<tokio::sync::Mutex<Vm>>],
     mut broken: Vec<Violation>,
 ) -> io::Result<Report> {
-    world.collect();
+    state.collect_runs();
     for vm in vms {
         let mut vm = vm.lock().await;
         vm.kill().await;
@@ -195,45 +205,52 @@
             let text = std::fs::read_to_string(&log)?;
             let versions = text.lines().filter_map(version_in_force).collect();
             let name = log.display().to_string();
-            lock(&world.ledger).versions.insert(name, versions);
+            lock(&state.history).versions.insert(name, versions);
         }
     }
-    let ledger = lock(&world.ledger);
-    for violation in ledger.violations() {
+    let history = lock(&state.history);
+    for violation in history.violations() {
         if broken.iter().all(|b| b.promise != violation.promise) {
             println!("BROKEN {violation}");
             broken.push(violation);
         }
     }
     let mut statuses: HashMap<u16, usize> = HashMap::new();
-    for ended in ledger.ended.values() {
-        *statuses.entry(ended.status).or_default() += 1;
+    for outcome in history.outcomes.values() {
+        *statuses.entry(outcome.status).or_default() += 1;
     }
     let mut statuses: Vec<(u16, usize)> = statuses.into_iter().collect();
     statuses.sort_unstable();
     Ok(Report {
-        sent: ledger.sent.len(),
-        served: ledger.ended.values().filter(|e| e.status == 200).count(),
+        sent: history.sent.len(),
+        served: history
+            .outcomes
+            .values()
+            .filter(|o| o.status == 200)
+            .count(),
         statuses,
         violations: broken,
     })
 }
 
+/// Returns the version from a log line of a version that was put in force, and `None` for other
+/// lines.
 fn version_in_force(line: &str) -> Option<u64> {
-    let rest = line.split("event=configuration_in_force version=").nth(1)?;
-    rest.split(' ').next()?.parse().ok()
+    let after_key = line.split("event=configuration_in_force version=").nth(1)?;
+    after_key.split(' ').next()?.parse().ok()
 }
 
-async fn wait_until_up(vms: &[Vm]) -> io::Result<()> {
-    let began = Instant::now();
+/// Waits until every VM names an address in response to a look-up.
+async fn wait_until_ready(vms: &[Vm]) -> io::Result<()> {
+    let started_at = Instant::now();
     for vm in vms {
         loop {
-            let named = client::look_up(vm.lookups, DOMAINS[0].1).await;
-            if named.is_ok_and(|named| !named.is_empty()) {
+            let addresses = client::look_up(vm.lookup_address, DOMAINS[0].1).await;
+            if addresses.is_ok_and(|addresses| !addresses.is_empty()) {
                 break;
             }
-            if began.elapsed() > START_TIME {
-                let text = format!("{} does not come up", vm.name);
+            if started_at.elapsed() > START_TIMEOUT {
+                let text = format!("{} did not respond to look-ups in time", vm.name);
                 return Err(io::Error::other(text));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -242,65 +259,69 @@
     Ok(())
 }
 
-fn start_callers(world: &Arc<World>, vms: &[Vm], seed: u64) -> Vec<tokio::task::JoinHandle<()>> {
-    let lookups: Arc<[std::net::SocketAddr]> = vms.iter().map(|vm| vm.lookups).collect();
-    let callers: Arc<[std::net::SocketAddr]> = vms.iter().map(|vm| vm.callers).collect();
+/// Starts a task for each caller, with a random generator of its own.
+fn start_callers(state: &Arc<RunState>, vms: &[Vm], seed: u64) -> Vec<tokio::task::JoinHandle<()>> {
+    let lookups: Arc<[std::net::SocketAddr]> = vms.iter().map(|vm| vm.lookup_address).collect();
+    let callers: Arc<[std::net::SocketAddr]> = vms.iter().map(|vm| vm.caller_address).collect();
     (0..CALLERS)
         .map(|number| {
             let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1));
-            let world = Arc::clone(world);
+            let state = Arc::clone(state);
             let (lookups, callers) = (Arc::clone(&lookups), Arc::clone(&callers));
-            tokio::spawn(
-                async move { call_for_ever(&world, &lookups, &callers, rng, number).await },
-            )
+            tokio::spawn(async move { run_caller(&state, &lookups, &callers, rng, number).await })
         })
         .collect()
 }
 
-/// Sends one request after the other, and keeps a connection while it can.
-async fn call_for_ever(
-    world: &World,
-    lookups: &[std::net::SocketAddr],
-    callers: &[std::net::SocketAddr],
+/// Sends requests one after the other, and keeps its connection until either side closes it. Runs
+/// until the task is aborted.
+async fn run_caller(
+    state: &RunState,
+    lookup_addresses: &[std::net::SocketAddr],
+    caller_addresses: &[std::net::SocketAddr],
     mut rng: StdRng,
     number: usize,
 ) {
     let region = DOMAINS[number % DOMAINS.len()].1;
-    let mut open: Option<Connection> = None;
+    let mut kept: Option<Connection> = None;
     loop {
-        tokio::time::sleep(PAUSE.mul_f64(rng.random_range(0.2..1.8))).await;
-        if rng.random_bool(LEAVE_PART) {
-            open = None;
+        tokio::time::sleep(MEAN_CALLER_PAUSE.mul_f64(rng.random_range(0.2..1.8))).await;
+        if rng.random_bool(RECONNECT_PROBABILITY) {
+            kept = None;
         }
-        let connection = match open.take() {
+        let connection = match kept.take() {
             Some(connection) => connection,
             None => {
-                let asked = lookups[rng.random_range(0..lookups.len())];
-                let named = client::look_up(asked, region).await.unwrap_or_default();
-                let vm = match named.len() {
-                    0 => callers[rng.random_range(0..callers.len())],
-                    count => named[rng.random_range(0..count)],
+                let lookup_address = lookup_addresses[rng.random_range(0..lookup_addresses.len())];
+                let addresses = client::look_up(lookup_address, region)
+                    .await
+                    .unwrap_or_default();
+                let vm = match addresses.len() {
+                    0 => caller_addresses[rng.random_range(0..caller_addresses.len())],
+                    count => addresses[rng.random_range(0..count)],
                 };
                 match Connection::open(vm).await {
                     Ok(connection) => connection,
-                    // The VM may be down; the next look-up names another one.
+                    // The VM may be down; a later look-up returns another one.
                     Err(_) => continue,
                 }
             }
         };
-        open = world.call(connection, &mut rng).await;
+        kept = state.send_request(connection, &mut rng).await;
     }
 }
 
-impl World {
+impl RunState {
+    /// Starts the store and the endpoints, registers the endpoints and writes the first
+    /// configuration.
     async fn new() -> io::Result<Self> {
         let store = Store::start().await?;
         let mut endpoints = Vec::new();
         let mut proxies = Vec::new();
         for number in 0..ENDPOINTS {
-            let endpoint = Endpoint::start(&format!("i-{number}"), WORK).await?;
-            let any = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-            proxies.push(FaultProxy::bind(any, endpoint.address).await?);
+            let endpoint = Endpoint::start(&format!("i-{number}"), SERVICE_TIME).await?;
+            let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+            proxies.push(FaultProxy::bind(any_port, endpoint.address).await?);
             endpoints.push(endpoint);
         }
         let keys = TEAMS
@@ -312,29 +333,29 @@
                 )
             })
             .collect();
-        let ledger = Ledger {
+        let history = History {
             limits: TEAMS.into_iter().collect(),
             cold_rate: COLD_RATE,
-            ..Ledger::default()
+            ..History::default()
         };
-        let world = Self {
+        let state = Self {
             store,
             endpoints,
             proxies,
-            ledger: Mutex::new(ledger),
+            history: Mutex::new(history),
             keys: Mutex::new(keys),
             version: AtomicU64::new(0),
             next_id: AtomicU64::new(0),
-            collected: (0..ENDPOINTS).map(|_| AtomicUsize::new(0)).collect(),
+            collected_runs: (0..ENDPOINTS).map(|_| AtomicUsize::new(0)).collect(),
         };
         for number in 0..ENDPOINTS {
-            world.register(number, "ready", Duration::ZERO);
+            state.register(number, "ready", Duration::ZERO);
         }
-        world.configure();
-        Ok(world)
+        state.publish_configuration();
+        Ok(state)
     }
 
-    /// Writes the registration of an endpoint.
+    /// Writes the registration of an endpoint to the store.
     fn register(&self, number: usize, state: &str, cold: Duration) {
         let spec = json!({"service": "charts", "address": self.proxies[number].addr().to_string(),
                           "zone": DOMAINS[number % DOMAINS.len()].0, "version": "v1", "slots": 3,
@@ -343,12 +364,12 @@
         self.store.put("servers", &self.endpoints[number].id, spec);
     }
 
-    /// Puts the next version of the configuration in force.
-    fn configure(&self) {
+    /// Writes the next version of the configuration to the store.
+    fn publish_configuration(&self) {
         let version = self.version.fetch_add(1, Ordering::Relaxed) + 1;
-        let route = |name: &str, kind: &str| {
+        let route = |name: &str, route_type: &str| {
             json!({"name": name, "hostname": "shop.example", "path-prefix": format!("/{name}/"),
-                   "route-type": kind, "timeout-s": 2, "target-latency-s": 0.5, "priority": 1,
+                   "route-type": route_type, "timeout-s": 2, "target-latency-s": 0.5, "priority": 1,
                    "service": "charts", "max-attempts": 2, "public": false, "sticky": true,
                    "home-regions": []})
         };
@@ -364,7 +385,7 @@
             "version": format!("r{version}"),
             "routes": [route("safe", "safe"), route("order", "unsafe")],
             "services": [{"name": "charts", "health-path": "/health", "max-conns": 100,
-                          "cold-start-s": COLD_TIME.as_secs_f64(), "cold-per-s": COLD_RATE}],
+                          "cold-start-s": COLD_DURATION.as_secs_f64(), "cold-per-s": COLD_RATE}],
             "limits": {"max-header-bytes": 16384, "max-body-bytes": 100_000,
                        "header-timeout-s": 3, "idle-timeout-s": 15},
             "tenants": tenants,
@@ -372,7 +393,7 @@
         self.store.put("config", "main", spec);
     }
 
-    /// Withdraws the older key of a team and gives out another one.
+    /// Withdraws the oldest key of the first team and issues a new one.
     fn withdraw_key(&self) {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let team = TEAMS[0].0;
@@ -384,48 +405,51 @@
             keys.push(format!("key-{team}-{number}"));
             keys.remove(0)
         };
-        self.configure();
-        lock(&self.ledger).withdrawn.insert(old, Instant::now());
+        self.publish_configuration();
+        lock(&self.history)
+            .withdrawn_keys
+            .insert(old, Instant::now());
     }
 
-    /// Sends one request on a connection and notes how it ended.
-    async fn call(&self, connection: Connection, rng: &mut StdRng) -> Option<Connection> {
+    /// Sends one request on a connection and records its outcome. Returns the connection if it can
+    /// be used again.
+    async fn send_request(&self, connection: Connection, rng: &mut StdRng) -> Option<Connection> {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let id = format!("q{number}");
-        let loud = rng.random_bool(0.5);
-        let team = TEAMS[usize::from(loud)].0;
+        let is_second_team = rng.random_bool(0.5);
+        let team = TEAMS[usize::from(is_second_team)].0;
         let idempotent = rng.random_bool(0.6);
         let key = {
             let keys = lock(&self.keys);
-            let of_team = &keys[team];
-            of_team[rng.random_range(0..of_team.len())].clone()
+            let team_keys = &keys[team];
+            team_keys[rng.random_range(0..team_keys.len())].clone()
         };
-        let sent = Sent {
+        let sent = SentRequest {
             idempotent,
             team,
             key: key.clone(),
             at: Instant::now(),
         };
-        lock(&self.ledger).sent.insert(id.clone(), sent);
-        let question = Question {
+        lock(&self.history).sent.insert(id.clone(), sent);
+        let request = CallerRequest {
             id: &id,
             path: if idempotent { "/safe/7" } else { "/order/7" },
-            object: rng.random_range(0..40),
+            affinity_key: rng.random_range(0..40),
             key: &key,
         };
-        let (ended, connection) = connection.ask(&question).await;
-        lock(&self.ledger).ended.insert(id, ended);
+        let (outcome, connection) = connection.send(&request).await;
+        lock(&self.history).outcomes.insert(id, outcome);
         connection
     }
 
-    /// Takes what endpoints ran since the last time into the ledger.
-    fn collect(&self) {
+    /// Adds the runs of all endpoints since the last call to the history.
+    fn collect_runs(&self) {
         for (number, endpoint) in self.endpoints.iter().enumerate() {
-            let known = self.collected[number].load(Ordering::Relaxed);
-            let runs = endpoint.runs_since(known);
-            self.collected[number].store(known + runs.len(), Ordering::Relaxed);
-            let mut ledger = lock(&self.ledger);
-            ledger.ran.extend(runs.into_iter().map(|run| Ran {
+            let collected = self.collected_runs[number].load(Ordering::Relaxed);
+            let runs = endpoint.runs_since(collected);
+            self.collected_runs[number].store(collected + runs.len(), Ordering::Relaxed);
+            let mut history = lock(&self.history);
+            history.runs.extend(runs.into_iter().map(|run| RequestRun {
                 id: header(&run.head, "x-filbertgrade-request-id"),
                 endpoint: number,
                 at: run.at,
@@ -433,20 +457,25 @@
         }
     }
 
-    fn begin_leaving(&self, endpoint: usize) {
-        lock(&self.ledger).leaving.push(Span {
+    /// Records that an endpoint starts to drain or is evacuated from now on.
+    fn start_leaving_period(&self, endpoint: usize) {
+        lock(&self.history).leaving_periods.push(EndpointPeriod {
             endpoint,
             from: Instant::now(),
             until: None,
         });
     }
 
-    fn end_leaving(&self, endpoint: usize) {
+    /// Ends all open leaving periods of an endpoint.
+    fn end_leaving_period(&self, endpoint: usize) {
         let now = Instant::now();
-        let mut ledger = lock(&self.ledger);
-        let spans = ledger.leaving.iter_mut().filter(|s| s.endpoint == endpoint);
-        for span in spans.filter(|span| span.until.is_none()) {
-            span.until = Some(now);
+        let mut history = lock(&self.history);
+        let periods = history
+            .leaving_periods
+            .iter_mut()
+            .filter(|p| p.endpoint == endpoint);
+        for period in periods.filter(|period| period.until.is_none()) {
+            period.until = Some(now);
         }
     }
 }
--- a/crates/filbertgrade-standins/src/soak/plan.rs
+++ b/crates/filbertgrade-standins/src/soak/plan.rs
@@ -1,4 +1,7 @@
-//! Which faults a run injects, and when.
+//! The faults that a run injects and their times, drawn from the seed of the run.
+//!
+//! The same seed must give the same plan: the number and order of the random draws are part of the
+//! behavior. A plan is printed with the variant names of [`Fault`] and [`EndpointBehavior`].
 
 use std::fmt;
 use std::time::Duration;
@@ -8,105 +11,110 @@
 
 use crate::node::endpoint::EndpointBehavior;
 
-/// Time at the start without faults, in which the fleet comes up.
-pub(super) const CALM_START: Duration = Duration::from_secs(4);
+/// Time without faults at the start of a run, in which the fleet finishes its start.
+pub(super) const FAULT_FREE_START: Duration = Duration::from_secs(4);
 
-/// Time at the end without faults, in which the fleet must have recovered.
-pub(super) const CALM_END: Duration = Duration::from_secs(10);
+/// Time at the end of a run in which no fault starts, so that the fleet can recover.
+pub(super) const FAULT_FREE_END: Duration = Duration::from_secs(10);
 
-/// Mean time between the beginnings of two faults.
-const MEAN_PAUSE: f64 = 1.2;
+/// Mean time between the starts of two faults, in seconds.
+const MEAN_FAULT_INTERVAL_S: f64 = 1.2;
 
-/// Shortest and longest fault, in seconds.
-const LENGTHS: (f64, f64) = (0.3, 5.0);
+/// Shortest and longest duration of a fault, in seconds.
+const FAULT_LENGTH_S: (f64, f64) = (0.3, 5.0);
 
-/// Part of the faults that come in a series of the same kind.
-const SERIES_PART: f64 = 0.2;
+/// Probability that a fault repeats the previous one, on the same VM or endpoint.
+const REPEAT_PROBABILITY: f64 = 0.2;
 
-/// The faults of one run. The same seed, time and sizes give the same plan.
+/// The faults of one run. The same seed, length and sizes give the same plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Seed.
+    /// Seed of the random draws.
     pub seed: u64,
     /// Length of the run.
     pub length: Duration,
-    /// In the order in which they begin.
+    /// Faults in the order in which they start. They may overlap.
     pub faults: Vec<PlannedFault>,
 }
 
-/// One fault.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// Start, relative to the start of the run.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration. It has no effect on a fault that is a single action, such as a reset.
     pub length: Duration,
-    /// What it is.
+    /// Kind and target of the fault.
     pub fault: Fault,
 }
 
-/// What goes wrong, from outside of the processes.
+/// A fault that is injected from outside the node processes. VMs, endpoints and failure domains are
+/// given by their index.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// A VM's process is killed, and started again at the end.
+    /// The process of a VM is killed, and started again at the end of the fault.
     KillVm(usize),
-    /// A VM's process does not run for a while.
+    /// The process of a VM is suspended with SIGSTOP until the end of the fault.
     PauseVm(usize),
-    /// A VM's process is told to stop, and started again at the end.
+    /// The process of a VM receives SIGTERM. Once it has exited, it is started again after the
+    /// length of the fault.
     StopVm(usize),
-    /// The store takes calls and does not answer.
+    /// The store accepts calls and does not respond.
     StoreSilent,
-    /// The store refuses calls.
+    /// The store refuses calls with status 503.
     StoreBusy,
-    /// The store forgets the changes that it had.
+    /// The store discards its history of changes, so watches must list the objects again.
     StoreForgets,
-    /// Answers of the store to one VM take long.
+    /// Responses of the store to one VM are delayed.
     StoreSlow(usize),
-    /// The store turns one VM away.
+    /// Open connections of one VM to the store are reset, and new ones too until the end of the
+    /// fault.
     StoreRefuses(usize),
-    /// Connections of one VM to the store are reset.
+    /// Open connections of one VM to the store are reset once.
     StoreResets(usize),
-    /// Nothing comes back from the store to one VM.
+    /// Calls of one VM reach the store, but no response comes back.
     StoreOneWay(usize),
-    /// An endpoint misbehaves.
+    /// An endpoint handles its requests with the given behavior.
     Endpoint(usize, EndpointBehavior),
-    /// Connections to an endpoint are reset.
+    /// Open connections to an endpoint are reset once.
     EndpointResets(usize),
-    /// Connections to an endpoint carry nothing, in both directions.
+    /// Open connections to an endpoint stop carrying data in both directions, for good.
     EndpointSilent(usize),
-    /// Bytes to an endpoint take long.
+    /// Data sent to an endpoint is delayed.
     EndpointSlow(usize),
-    /// An endpoint says that it drains, and comes back cold.
+    /// An endpoint registers as draining, and afterwards as ready and cold.
     Drain(usize),
-    /// A failure domain is evacuated, and taken back.
+    /// A failure domain is evacuated until the end of the fault.
     Evacuate(usize),
-    /// A key is withdrawn and another one given out.
+    /// An API key is withdrawn and a new one issued.
     WithdrawKey,
-    /// The configuration changes several times in a row.
+    /// The configuration changes several times in quick succession.
     Reconfigure,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws the plan for a seed, the length of the run and the numbers of VMs, endpoints and
+    /// failure domains.
     pub fn new(seed: u64, length: Duration, vms: usize, endpoints: usize, domains: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut faults: Vec<PlannedFault> = Vec::new();
-        let last = length.saturating_sub(CALM_END).as_secs_f64();
-        let mut at = CALM_START.as_secs_f64();
-        while at < last {
-            let series = rng.random_bool(SERIES_PART);
+        let last_start = length.saturating_sub(FAULT_FREE_END).as_secs_f64();
+        let mut at = FAULT_FREE_START.as_secs_f64();
+        while at < last_start {
+            let repeats = rng.random_bool(REPEAT_PROBABILITY);
             let fault = match faults.last() {
-                Some(before) if series => before.fault,
+                Some(previous) if repeats => previous.fault,
                 _ => draw(&mut rng, vms, endpoints, domains),
             };
-            let longest = LENGTHS.1.min(last - at).max(LENGTHS.0);
-            let time = rng.random_range(LENGTHS.0..=longest);
+            let longest = FAULT_LENGTH_S.1.min(last_start - at).max(FAULT_LENGTH_S.0);
+            let duration = rng.random_range(FAULT_LENGTH_S.0..=longest);
             faults.push(PlannedFault {
                 at: Duration::from_secs_f64(at),
-                length: Duration::from_secs_f64(time),
+                length: Duration::from_secs_f64(duration),
                 fault,
             });
-            at += -MEAN_PAUSE * (1.0 - rng.random::<f64>()).ln();
+            // Exponentially distributed interval, as between independent events.
+            at += -MEAN_FAULT_INTERVAL_S * (1.0 - rng.random::<f64>()).ln();
         }
         Self {
             seed,
@@ -123,8 +131,9 @@
     }
 }
 
+/// Draws the kind and the target of one fault.
 fn draw(rng: &mut StdRng, vms: usize, endpoints: usize, domains: usize) -> Fault {
-    const CONDUCTS: [EndpointBehavior; 8] = [
+    const BEHAVIORS: [EndpointBehavior; 8] = [
         EndpointBehavior::Refuses,
         EndpointBehavior::LosesAnswer,
         EndpointBehavior::Silent,
@@ -147,7 +156,7 @@
         7 => Fault::StoreRefuses(vm),
         8 => Fault::StoreResets(vm),
         9 => Fault::StoreOneWay(vm),
-        10 | 11 => Fault::Endpoint(endpoint, CONDUCTS[rng.random_range(0..CONDUCTS.len())]),
+        10 | 11 => Fault::Endpoint(endpoint, BEHAVIORS[rng.random_range(0..BEHAVIORS.len())]),
         12 => Fault::EndpointResets(endpoint),
         13 => Fault::EndpointSilent(endpoint),
         14 => Fault::EndpointSlow(endpoint),
--- a/crates/filbertgrade-standins/src/soak/promises.rs
+++ b/crates/filbertgrade-standins/src/soak/promises.rs
@@ -1,58 +1,67 @@
-//! What was sent, run and answered, and whether the promises were kept.
+//! The promises of the soak, and the history of a run that they are checked against.
+//!
+//! The checks are functions of the recorded history only, so that tests can show that each of them
+//! finds a violation. The names of the promises and the details of violations are printed by the
+//! soak.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Time after which a withdrawn key must not work.
-pub(super) const KEY_TIME: Duration = Duration::from_secs(5);
+/// Time from the withdrawal of a key until requests with it must be refused.
+pub(super) const KEY_WITHDRAWAL_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time after which an endpoint that drains or is evacuated gets nothing.
-pub(super) const LEAVE_TIME: Duration = Duration::from_secs(5);
+/// Time from the start of a drain or an evacuation until an endpoint must receive no more requests.
+pub(super) const LEAVING_LIMIT: Duration = Duration::from_secs(5);
 
-/// Window in which a team's requests are counted.
+/// Length of the sliding window in which the requests of a team are counted.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// What users bear beyond a limit: a part of it, and requests.
-const RATE_SLACK: (f64, f64) = (0.1, 20.0);
+/// Excess over the limit of a team that users accept: a fraction of the limit, and a number of
+/// requests on top.
+const RATE_TOLERANCE: (f64, f64) = (0.1, 20.0);
 
-/// What users bear beyond the rate of a cold endpoint: a factor, and requests.
-const COLD_SLACK: (f64, f64) = (1.5, 8.0);
+/// Excess over the rate of a cold endpoint that users accept: a factor on the rate, and a number of
+/// requests on top.
+const COLD_TOLERANCE: (f64, f64) = (1.5, 8.0);
 
-/// Part of the idempotent requests that must be answered at the end.
-const SERVED_AT_END: f64 = 0.95;
+/// Smallest fraction of the idempotent requests that must succeed after the recovery deadline.
+const MIN_SERVED_FRACTION: f64 = 0.95;
 
-/// Requests at the end from which that part is judged.
-const LEAST_JUDGED: usize = 50;
+/// Smallest number of idempotent requests after the recovery deadline on which that fraction is
+/// judged. Fewer of them break the promise too.
+const MIN_JUDGED_REQUESTS: usize = 50;
 
-/// What is promised to callers, backend servers and operators.
+/// A promise to callers, backend servers or operators. The soak prints the names of the variants.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Promise {
-    /// A request that is not idempotent runs at most once.
+    /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// An answer is whole, signed and the caller's own.
+    /// A successful response is complete, signed by the endpoint, and belongs to the caller's
+    /// request.
     OwnAnswer,
-    /// A request that was refused as not run did not run.
+    /// A request that was refused with a status that means "not run" (408, 421, 429 or 503) did not
+    /// run.
     TrueRefusal,
-    /// A team gets no more than its limit in any window.
+    /// No team runs more requests than its limit in any window, apart from the tolerated excess.
     Rate,
-    /// A withdrawn key does not work.
+    /// No request runs with a key that was withdrawn more than 5 seconds before.
     WithdrawnKey,
-    /// The version of the configuration does not go back.
+    /// Each process puts only increasing versions of the configuration in force.
     Version,
-    /// An endpoint that drains, or whose failure domain is evacuated, gets
-    /// nothing.
+    /// An endpoint that drains, or whose failure domain is evacuated, runs no requests after the
+    /// first 5 seconds, unless VMs may not have received the change.
     Leaving,
-    /// A cold endpoint gets few requests.
+    /// A cold endpoint receives requests at its cold rate at most, apart from the tolerated excess.
     ColdRate,
-    /// A process that is told to stop ends well and in time.
+    /// A process that receives SIGTERM exits with success and in time.
     GracefulStop,
-    /// Requests are answered again after the last fault.
+    /// Requests succeed again after the last fault.
     Recovery,
 }
 
 impl Promise {
-    /// All promises, in the order of a report.
+    /// All promises, in the order of the printed report.
     pub const ALL: [Self; 10] = [
         Self::AtMostOnce,
         Self::OwnAnswer,
@@ -67,12 +76,12 @@
     ];
 }
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which one.
+    /// The promise that was broken.
     pub promise: Promise,
-    /// What shows it, with ids.
+    /// The evidence, with the ids of the request, team, endpoint or process.
     pub detail: String,
 }
 
@@ -82,94 +91,95 @@
     }
 }
 
-/// A team's limit.
+/// Rate limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLimit {
-    /// Requests a second.
+    /// Sustained rate in requests per second.
     pub rate: f64,
-    /// Requests beyond it.
+    /// Requests that may run at once in addition to the sustained rate.
     pub burst: f64,
 }
 
-/// A request of a caller.
+/// A request as its caller sent it.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// It may run more than once.
+pub struct SentRequest {
+    /// The request may run more than once.
     pub idempotent: bool,
-    /// Team of the key.
+    /// Team that the key belongs to.
     pub team: &'static str,
-    /// Key.
+    /// API key that the request carried.
     pub key: String,
-    /// When it was sent.
+    /// When the caller sent the request.
     pub at: Instant,
 }
 
-/// How a request ended at its caller.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
-    /// Status, or zero without an answer.
+pub struct RequestOutcome {
+    /// HTTP status; zero if the caller received no response.
     pub status: u16,
-    /// The answer is whole, signed and to this request.
-    pub own: bool,
+    /// The response is complete, signed and belongs to this request.
+    pub is_valid: bool,
 }
 
-/// A request at an endpoint.
+/// One run of a request at an endpoint.
 #[derive(Clone, Debug)]
-pub struct Ran {
-    /// Id of the request.
+pub struct RequestRun {
+    /// Id of the request; a retried request has several runs with the same id.
     pub id: String,
     /// Number of the endpoint.
     pub endpoint: usize,
-    /// When.
+    /// When the endpoint started to run it.
     pub at: Instant,
 }
 
-/// Time in which an endpoint must get nothing, or little.
+/// Period in which an endpoint leaves or is cold.
 #[derive(Clone, Copy, Debug)]
-pub struct Span {
+pub struct EndpointPeriod {
     /// Number of the endpoint.
     pub endpoint: usize,
-    /// From then on.
+    /// Start of the period.
     pub from: Instant,
-    /// Until then, if it ended.
+    /// End of the period; `None` while it lasts.
     pub until: Option<Instant>,
 }
 
-/// All that callers, endpoints and operators have seen.
+/// Everything that callers and endpoints observed in a run, and the actions of operators and faults
+/// that the promises depend on.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    /// By id.
-    pub sent: HashMap<String, Sent>,
-    /// By id.
-    pub ended: HashMap<String, Ended>,
-    /// In no order.
-    pub ran: Vec<Ran>,
-    /// Limits of teams.
+pub struct History {
+    /// Requests that callers sent, by id.
+    pub sent: HashMap<String, SentRequest>,
+    /// Outcomes of the requests that ended, by id.
+    pub outcomes: HashMap<String, RequestOutcome>,
+    /// Runs of requests at all endpoints, in no order.
+    pub runs: Vec<RequestRun>,
+    /// Limits by team.
     pub limits: HashMap<&'static str, TeamLimit>,
-    /// When keys were withdrawn.
-    pub withdrawn: HashMap<String, Instant>,
-    /// Endpoints that drain or are evacuated.
-    pub leaving: Vec<Span>,
-    /// Endpoints that are cold.
-    pub cold: Vec<Span>,
-    /// Requests a second that a cold endpoint takes.
+    /// Withdrawn keys, with the time of their withdrawal.
+    pub withdrawn_keys: HashMap<String, Instant>,
+    /// Periods in which endpoints drained or were evacuated.
+    pub leaving_periods: Vec<EndpointPeriod>,
+    /// Periods in which endpoints were cold.
+    pub cold_periods: Vec<EndpointPeriod>,
+    /// Rate of a cold endpoint in requests per second.
     pub cold_rate: f64,
-    /// Times in which a VM may not have heard of changes.
-    pub out_of_touch: Vec<(Instant, Instant)>,
-    /// Versions that each process put in force, in their order.
+    /// Start and end of periods in which a VM may not have received the changes in the store.
+    pub stale_periods: Vec<(Instant, Instant)>,
+    /// Versions of the configuration that each process put in force, oldest first, by log file.
     pub versions: HashMap<String, Vec<u64>>,
-    /// Processes that did not stop as told.
-    pub bad_stops: Vec<String>,
-    /// From then on all must be served again.
-    pub recovered_at: Option<Instant>,
+    /// Descriptions of processes that did not stop as promised.
+    pub failed_stops: Vec<String>,
+    /// Time from which requests must succeed again; `None` before it is known.
+    pub recovery_deadline: Option<Instant>,
 }
 
-impl Ledger {
-    /// The promises that were broken so far.
+impl History {
+    /// Returns the first violation of each check.
     pub fn violations(&self) -> Vec<Violation> {
         let checks = [
             self.check_runs(),
-            self.check_answers(),
+            self.check_outcomes(),
             self.check_rates(),
             self.check_keys(),
             self.check_versions(),
@@ -182,29 +192,29 @@
     }
 
     fn check_runs(&self) -> Option<Violation> {
-        let mut met = HashSet::new();
-        let twice = self.ran.iter().find(|ran| {
-            let once = self.sent.get(&ran.id).is_some_and(|sent| !sent.idempotent);
-            !met.insert(&ran.id) && once
+        let mut seen = HashSet::new();
+        let repeated = self.runs.iter().find(|run| {
+            let at_most_once = self.sent.get(&run.id).is_some_and(|sent| !sent.idempotent);
+            !seen.insert(&run.id) && at_most_once
         })?;
         Some(violation(
             Promise::AtMostOnce,
-            format!("id={} ran more than once", twice.id),
+            format!("id={} ran more than once", repeated.id),
         ))
     }
 
-    fn check_answers(&self) -> Option<Violation> {
-        let ran: HashSet<&String> = self.ran.iter().map(|ran| &ran.id).collect();
-        self.ended
+    fn check_outcomes(&self) -> Option<Violation> {
+        let run_ids: HashSet<&String> = self.runs.iter().map(|run| &run.id).collect();
+        self.outcomes
             .iter()
-            .find_map(|(id, ended)| match ended.status {
-                200 if !ended.own => Some(violation(
+            .find_map(|(id, outcome)| match outcome.status {
+                200 if !outcome.is_valid => Some(violation(
                     Promise::OwnAnswer,
                     format!("id={id} got an answer that is cut, unsigned or another's"),
                 )),
-                408 | 421 | 429 | 503 if ran.contains(id) => Some(violation(
+                408 | 421 | 429 | 503 if run_ids.contains(id) => Some(violation(
                     Promise::TrueRefusal,
-                    format!("id={id} status={} and it ran", ended.status),
+                    format!("id={id} status={} and it ran", outcome.status),
                 )),
                 _ => None,
             })
@@ -212,26 +222,28 @@
 
     fn check_rates(&self) -> Option<Violation> {
         self.limits.iter().find_map(|(team, limit)| {
-            let of_team = |ran: &&Ran| self.sent.get(&ran.id).is_some_and(|s| s.team == *team);
-            let mut at: Vec<Instant> = self.ran.iter().filter(of_team).map(|r| r.at).collect();
-            at.sort_unstable();
-            let whole = limit.rate * RATE_WINDOW.as_secs_f64() + limit.burst;
-            let borne = whole * (1.0 + RATE_SLACK.0) + RATE_SLACK.1;
-            let most = most_within(&at, RATE_WINDOW);
-            (most as f64 > borne).then(|| {
+            let is_of_team =
+                |run: &&RequestRun| self.sent.get(&run.id).is_some_and(|s| s.team == *team);
+            let mut times: Vec<Instant> =
+                self.runs.iter().filter(is_of_team).map(|r| r.at).collect();
+            times.sort_unstable();
+            let allowed = limit.rate * RATE_WINDOW.as_secs_f64() + limit.burst;
+            let tolerated = allowed * (1.0 + RATE_TOLERANCE.0) + RATE_TOLERANCE.1;
+            let max_count = max_within(&times, RATE_WINDOW);
+            (max_count as f64 > tolerated).then(|| {
                 violation(
                     Promise::Rate,
-                    format!("team={team} ran {most} in a window, {borne:.0} are borne"),
+                    format!("team={team} ran {max_count} in a window, {tolerated:.0} are borne"),
                 )
             })
         })
     }
 
     fn check_keys(&self) -> Option<Violation> {
-        let late = self.ran.iter().find(|ran| {
-            let key = self.sent.get(&ran.id).map(|sent| &sent.key);
-            let withdrawn = key.and_then(|key| self.withdrawn.get(key));
-            withdrawn.is_some_and(|at| ran.at > *at + KEY_TIME)
+        let late = self.runs.iter().find(|run| {
+            let key = self.sent.get(&run.id).map(|sent| &sent.key);
+            let withdrawn_at = key.and_then(|key| self.withdrawn_keys.get(key));
+            withdrawn_at.is_some_and(|at| run.at > *at + KEY_WITHDRAWAL_LIMIT)
         })?;
         Some(violation(
             Promise::WithdrawnKey,
@@ -240,25 +252,25 @@
     }
 
     fn check_versions(&self) -> Option<Violation> {
-        let back = self.versions.iter().find(|(_, versions)| {
+        let regressed = self.versions.iter().find(|(_, versions)| {
             let mut pairs = versions.windows(2);
             pairs.any(|pair| pair[0] >= pair[1])
         })?;
         Some(violation(
             Promise::Version,
-            format!("process={} versions={:?}", back.0, back.1),
+            format!("process={} versions={:?}", regressed.0, regressed.1),
         ))
     }
 
     fn check_leaving(&self) -> Option<Violation> {
-        let late = self.ran.iter().find(|ran| {
-            self.leaving.iter().any(|span| {
-                let from = span.from + LEAVE_TIME;
-                let touch = (span.from, ran.at);
-                span.endpoint == ran.endpoint
-                    && ran.at > from
-                    && span.until.is_none_or(|until| ran.at < until)
-                    && !self.is_out_of_touch(touch)
+        let late = self.runs.iter().find(|run| {
+            self.leaving_periods.iter().any(|period| {
+                let deadline = period.from + LEAVING_LIMIT;
+                let notice_period = (period.from, run.at);
+                period.endpoint == run.endpoint
+                    && run.at > deadline
+                    && period.until.is_none_or(|until| run.at < until)
+                    && !self.overlaps_stale_period(notice_period)
             })
         })?;
         Some(violation(
@@ -272,48 +284,52 @@
 
     fn check_cold(&self) -> Option<Violation> {
         let second = Duration::from_secs(1);
-        let borne = self.cold_rate * COLD_SLACK.0 + COLD_SLACK.1;
-        self.cold.iter().find_map(|span| {
-            let within = |ran: &&Ran| {
-                ran.endpoint == span.endpoint
-                    && ran.at >= span.from
-                    && span.until.is_none_or(|until| ran.at < until)
+        let tolerated = self.cold_rate * COLD_TOLERANCE.0 + COLD_TOLERANCE.1;
+        self.cold_periods.iter().find_map(|period| {
+            let is_within = |run: &&RequestRun| {
+                run.endpoint == period.endpoint
+                    && run.at >= period.from
+                    && period.until.is_none_or(|until| run.at < until)
             };
-            let mut at: Vec<Instant> = self.ran.iter().filter(within).map(|r| r.at).collect();
-            at.sort_unstable();
-            let most = most_within(&at, second);
-            (most as f64 > borne).then(|| {
+            let mut times: Vec<Instant> =
+                self.runs.iter().filter(is_within).map(|r| r.at).collect();
+            times.sort_unstable();
+            let max_count = max_within(&times, second);
+            (max_count as f64 > tolerated).then(|| {
                 violation(
                     Promise::ColdRate,
-                    format!("endpoint {} got {most} in a second", span.endpoint),
+                    format!("endpoint {} got {max_count} in a second", period.endpoint),
                 )
             })
         })
     }
 
     fn check_stops(&self) -> Option<Violation> {
-        let bad = self.bad_stops.first()?;
-        Some(violation(Promise::GracefulStop, bad.clone()))
+        let detail = self.failed_stops.first()?;
+        Some(violation(Promise::GracefulStop, detail.clone()))
     }
 
     fn check_recovery(&self) -> Option<Violation> {
-        let from = self.recovered_at?;
+        let from = self.recovery_deadline?;
         let judged: Vec<&String> = self
             .sent
             .iter()
-            .filter(|(id, sent)| sent.idempotent && sent.at > from && self.ended.contains_key(*id))
-            // The rate of a team may refuse more than a part of its requests.
-            .filter(|(id, _)| self.ended[*id].status != 429)
+            .filter(|(id, sent)| {
+                sent.idempotent && sent.at > from && self.outcomes.contains_key(*id)
+            })
+            // A team above its rate limit may have more requests refused than the tolerated
+            // fraction.
+            .filter(|(id, _)| self.outcomes[*id].status != 429)
             .map(|(id, _)| id)
             .collect();
-        let failed = judged.iter().filter(|id| self.ended[**id].status != 200);
+        let failed = judged.iter().filter(|id| self.outcomes[**id].status != 200);
         let failed: Vec<&&String> = failed.collect();
-        let most = judged.len() as f64 * (1.0 - SERVED_AT_END);
-        if judged.len() < LEAST_JUDGED {
+        let max_failed = judged.len() as f64 * (1.0 - MIN_SERVED_FRACTION);
+        if judged.len() < MIN_JUDGED_REQUESTS {
             let detail = format!("only {} requests ended", judged.len());
             return Some(violation(Promise::Recovery, detail));
         }
-        (failed.len() as f64 > most).then(|| {
+        (failed.len() as f64 > max_failed).then(|| {
             violation(
                 Promise::Recovery,
                 format!(
@@ -326,9 +342,10 @@
         })
     }
 
-    fn is_out_of_touch(&self, (from, until): (Instant, Instant)) -> bool {
-        let mut spans = self.out_of_touch.iter();
-        spans.any(|(begin, end)| *begin <= until && from <= *end)
+    /// Returns whether a VM may have missed changes at some time of the given period.
+    fn overlaps_stale_period(&self, (from, until): (Instant, Instant)) -> bool {
+        let mut periods = self.stale_periods.iter();
+        periods.any(|(start, end)| *start <= until && from <= *end)
     }
 }
 
@@ -336,15 +353,15 @@
     Violation { promise, detail }
 }
 
-/// The most instants of a sorted list within one window.
-fn most_within(at: &[Instant], window: Duration) -> usize {
+/// Returns the largest number of instants of the sorted `times` within one window.
+fn max_within(times: &[Instant], window: Duration) -> usize {
     let mut first = 0;
-    let mut most = 0;
-    for (last, end) in at.iter().enumerate() {
-        while *end - at[first] > window {
+    let mut max_count = 0;
+    for (last, end) in times.iter().enumerate() {
+        while *end - times[first] > window {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        max_count = max_count.max(last + 1 - first);
     }
-    most
+    max_count
 }
--- a/crates/filbertgrade/tests/soak.rs
+++ b/crates/filbertgrade/tests/soak.rs
@@ -1,12 +1,13 @@
-//! A short soak of real nodes: the seeds that once failed, and one more.
+//! A short soak of real nodes. Seeds that have failed are kept as cases beside `fresh`, which is a
+//! seed without an earlier failure.
 
 use std::time::Duration;
 
 use filbertgrade_standins::soak::{Options, run};
 use rstest::rstest;
 
-/// Guards the promises to callers, backend servers and operators under faults
-/// that overlap.
+/// Guards against a broken promise to callers, backend servers or operators under overlapping
+/// faults, for example a non-idempotent request that runs twice.
 #[rstest]
 #[case::fresh(1)]
 #[tokio::test]
