--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -77,7 +77,7 @@
     };
     let mut outgoing = lock(&agent.outgoing);
     Feed {
-        delta: outgoing.page(
+        delta: outgoing.next_page(
             &state.objects,
             LOCAL_ENTRY,
             request.revision,
@@ -134,10 +134,10 @@
     }
     let delta = if pull.one_page_only {
         OutgoingDeltas::default()
-            .page(&state.objects, &pull.vm, pull.revision, None, now)
+            .next_page(&state.objects, &pull.vm, pull.revision, None, now)
             .filter(|page| page.objects.len() as u64 == page.total)
     } else {
-        lock(&agent.outgoing).page(&state.objects, &pull.vm, pull.revision, pull.resume, now)
+        lock(&agent.outgoing).next_page(&state.objects, &pull.vm, pull.revision, pull.resume, now)
     };
     PullReply {
         delta,
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -95,7 +95,7 @@
         let pull = Pull {
             vm: agent.settings.vm.to_string(),
             revision: *agent.revision.borrow(),
-            resume: incoming.resume(),
+            resume: incoming.next_page_request(),
             region: agent.settings.region.to_string(),
             failure_domain: agent.settings.failure_domain.to_string(),
             newest_confirmation_only: !all_regions,
@@ -116,7 +116,7 @@
                 return;
             }
         }
-        if incoming.resume().is_none() {
+        if incoming.next_page_request().is_none() {
             return;
         }
         if transfer.is_none() {
@@ -165,7 +165,7 @@
     incoming: &mut IncomingDelta,
     page: Delta,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    if let Some(delta) = incoming.take(page)? {
+    if let Some(delta) = incoming.add_page(page)? {
         agent.apply_update(|objects| apply_delta(objects, delta))?;
     }
     Ok(())
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -34,7 +34,7 @@
         let sent_at = Instant::now();
         let hello = FeedRequest {
             revision: objects.revision(),
-            resume: incoming.resume(),
+            resume: incoming.next_page_request(),
         };
         match link.call(Body::FeedRequest(hello), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
@@ -57,7 +57,7 @@
     feed: Feed,
     sent_at: Instant,
 ) {
-    match feed.delta.map(|page| incoming.take(page)) {
+    match feed.delta.map(|page| incoming.add_page(page)) {
         Some(Ok(Some(delta))) => match crate::version::apply_delta(objects, delta) {
             Ok(ApplyOutcome::Advanced(names)) => put_in_force(entry, objects, &names),
             Ok(ApplyOutcome::Stale | ApplyOutcome::Gap { .. }) => {}
--- a/crates/filbertgrade/tests/agents/load.rs
+++ b/crates/filbertgrade/tests/agents/load.rs
@@ -47,7 +47,7 @@
         for vm in &fleet.vms {
             let responses = Arc::new(Mutex::new(Vec::new()));
             load.responses.push(Arc::clone(&responses));
-            let (address, service) = (vm.callers(), service.to_owned());
+            let (address, service) = (vm.caller_address(), service.to_owned());
             let key = key.map(ToOwned::to_owned);
             let prefix = format!("{prefix}/{}", vm.name);
             load.tasks.push(tokio::spawn(async move {
--- a/crates/filbertgrade/tests/path/bad_responses.rs
+++ b/crates/filbertgrade/tests/path/bad_responses.rs
@@ -42,7 +42,7 @@
         .header("authorization", format!("Bearer {secret}"))
         .body(Full::default())
         .unwrap();
-    send(fleet.vms[0].callers(), req).await.unwrap()
+    send(fleet.vms[0].caller_address(), req).await.unwrap()
 }
 
 async fn fleet_with_backend(responses: &'static [&'static str]) -> (Fleet, String) {
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -153,7 +153,7 @@
             }
             "connect" => {
                 let n: usize = first().parse()?;
-                let callers = self.fleet.vms[n - 1].callers();
+                let callers = self.fleet.vms[n - 1].caller_address();
                 let mut stream = std::net::TcpStream::connect(callers)?;
                 stream.write_all(b"GET /v1/lookup HTTP/1.1\r\nhost: x\r\n\r\n")?;
                 stream.read_exact(&mut [0])?;
@@ -201,7 +201,7 @@
             .unwrap_or("64")
             .parse()?;
         Ok(TestRequest {
-            vm: self.fleet.vms[vm - 1].callers(),
+            vm: self.fleet.vms[vm - 1].caller_address(),
             expected: expected_answer(id, &body, size),
             req: req.body(Full::new(body))?,
         })
@@ -335,7 +335,7 @@
             .body(Full::default())?;
         let response = self
             .runtime
-            .block_on(send(self.fleet.vms[n - 1].callers(), req))
+            .block_on(send(self.fleet.vms[n - 1].caller_address(), req))
             .map_err(|e| e.to_string())?;
         let response: serde_json::Value = serde_json::from_slice(response.body())?;
         let vms = response["vms"].as_array().ok_or("no VMs")?;
