--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -316,7 +316,7 @@
                     platform.set_history(changes);
                 }
                 if let Some(writes) = value(&mut args, "lose")? {
-                    platform.lose_next_answers(writes);
+                    platform.drop_next_responses(writes);
                 }
                 if let Some(lag) = value(&mut args, "vm_lag")? {
                     platform.set_vm_lag(Duration::from_millis(lag));
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -251,7 +251,7 @@
     /// requests still reach it.
     pub(crate) fn withhold_store_responses(&self, on: bool) {
         let fault = Fault {
-            silent: on,
+            stalled: on,
             ..Fault::default()
         };
         self.store_proxy.set_fault(Direction::ToClient, fault);
@@ -261,7 +261,7 @@
     /// connections stay open, but data is withheld.
     pub(crate) fn set_peer_isolation(&self, isolated: &[usize], on: bool) {
         let fault = || Fault {
-            silent: on,
+            stalled: on,
             ..Fault::default()
         };
         for from in 0..self.vms.len() {
--- a/crates/filbertgrade/tests/operators/drain.rs
+++ b/crates/filbertgrade/tests/operators/drain.rs
@@ -33,7 +33,7 @@
     assert_eq!(output.stdout, "drain of vm vm-2 is in force on 2 VMs\n");
     assert!(!lookup_response(&fleet, 0).await.contains("vm-2"));
 
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let output = run(&fleet, &["drain", "vm", "vm-2", "--undo"]).await;
     assert_eq!(output.code, 0, "{output:?}");
     assert!(lookup_response(&fleet, 0).await.contains("vm-2"));
@@ -93,7 +93,10 @@
         let response = send(fleet.vms[1].caller_address(), req).await.unwrap();
         assert_eq!(response.status(), 200);
         assert_eq!(
-            (fleet.backends[0].ran(&id), fleet.backends[1].ran(&id)),
+            (
+                fleet.backends[0].run_count(&id),
+                fleet.backends[1].run_count(&id)
+            ),
             (1, 0)
         );
     }
@@ -107,7 +110,7 @@
     fleet.apply().await;
     let start = std::time::Instant::now();
     let stop_responding = async {
-        fleet.platform.lose_next_answers(u64::MAX);
+        fleet.platform.drop_next_responses(u64::MAX);
         while fleet.platform.names("drains/").is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/crates/filbertgrade/tests/operators/key.rs
+++ b/crates/filbertgrade/tests/operators/key.rs
@@ -20,7 +20,7 @@
     );
     assert!(fleet.platform.names("keys/").is_empty());
 
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let output = run(&fleet, &["key", "create", "atelier"]).await;
     assert_eq!(output.code, 0, "{output:?}");
     let secret = output.stdout.trim().rsplit('_').next().unwrap();
@@ -46,7 +46,7 @@
     );
     let id = |secret: &str| secret.split('_').nth(1).unwrap().to_owned();
     let (first, second) = (id(&first), id(&second));
-    fleet.platform.lose_next_answers(1);
+    fleet.platform.drop_next_responses(1);
     let output = run(&fleet, &["key", "withdraw", &first]).await;
     assert_eq!(output.code, 0, "{output:?}");
     assert!(output.stdout.starts_with("accepted: "), "{output:?}");
--- a/crates/filbertgrade/tests/path/bad_input.rs
+++ b/crates/filbertgrade/tests/path/bad_input.rs
@@ -116,7 +116,7 @@
         );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(fleet.backends.iter().all(|b| b.ran("slow") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("slow") == 0));
 }
 
 /// Guards against idle connections that exhaust a VM's memory, and against
--- a/crates/filbertgrade/tests/shares/setup.rs
+++ b/crates/filbertgrade/tests/shares/setup.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use filbertgrade_standins::backend::BackendServer;
 use filbertgrade_standins::caller::{
-    Key, Kind, Limit, Load, LoadConfig, LoadReport, Route, TeamLoad,
+    Key, Limit, Load, LoadConfig, LoadReport, RequestKind, Route, TeamLoad,
 };
 use http::Request;
 use http_body_util::Full;
@@ -117,7 +117,11 @@
         let team = |name: &str, key: &Key, rate, limit| TeamLoad {
             key: Some(key.clone()),
             limit: Some(limit),
-            ..TeamLoad::new(name, rate, vec![Kind::chart("chart"), Kind::order("chart")])
+            ..TeamLoad::new(
+                name,
+                rate,
+                vec![RequestKind::chart("chart"), RequestKind::order("chart")],
+            )
         };
         let teams = vec![
             team("atelier", &self.over_rate_key, OVER_RATE_LOAD, OVER_RATE),
@@ -140,7 +144,7 @@
     pub(crate) fn check(&self, report: &LoadReport, allowed_refusals: f64) {
         let backends = &self.fleet.backends;
         let records: Vec<_> = backends.iter().map(BackendServer::records).collect();
-        let joined = report.join(&records, JITTER);
+        let joined = report.compare_with_backends(&records, JITTER);
         let (over_rate, within_rate) = (&report.teams["atelier"], &report.teams["outfitter"]);
         println!(
             "team within its rate: allowed refusals {allowed_refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
