--- a/crates/filbertgrade-blocks/tests/copy.rs
+++ b/crates/filbertgrade-blocks/tests/copy.rs
@@ -408,21 +408,21 @@
     let encoded = table().encode();
     let mut plan = FetchPlan::new(&encoded.manifest, FetchConfig::default());
     plan.add_peer(PeerId(1));
-    let wanted = *encoded
+    let prioritized = *encoded
         .manifest
         .chunks_for("2001:db8::".parse().unwrap())
         .start();
-    assert!(wanted > 0);
-    plan.prioritize(wanted);
+    assert!(prioritized > 0);
+    plan.prioritize(prioritized);
     let FetchStep::Request(request) = plan.next(Duration::ZERO) else {
         panic!("no request")
     };
-    assert_eq!((request.index, request.offset), (wanted, 0));
+    assert_eq!((request.index, request.offset), (prioritized, 0));
     let late = Duration::from_secs(60);
     let FetchStep::Wait { .. } = plan.next(late) else {
         panic!("the only peer is in backoff")
     };
-    let piece = &encoded.chunks[wanted].as_ref()[..request.len as usize];
+    let piece = &encoded.chunks[prioritized].as_ref()[..request.len as usize];
     let received = plan.receive(PeerId(1), request.index, request.offset, piece);
     assert_eq!(received, ReceiveOutcome::Unexpected);
 }
