--- a/crates/filbertgrade-coord/src/steering/affinity.rs
+++ b/crates/filbertgrade-coord/src/steering/affinity.rs
@@ -23,7 +23,7 @@
 /// Time after which an affinity expires if its object was requested only once.
 const UNCONFIRMED_TTL: Duration = Duration::from_secs(3);
 
-/// Time after the last request at which a confirmed affinity expires.
+/// Time after the last request or update at which a confirmed affinity expires.
 const CONFIRMED_TTL: Duration = Duration::from_secs(30);
 
 /// The affinities that this VM knows, and the updates that it still has to send
--- a/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
@@ -235,8 +235,8 @@
     /// probe has failed.
     pub(super) fn eject(&mut self, now: Instant) -> Duration {
         let backoff = match self.ejection {
-            // Requests that were in flight together fail together, so only the
-            // first of these failures counts.
+            // Requests that were in flight together fail together. The failures
+            // after the first one start the backoff again but do not double it.
             Some(ejection) if !ejection.probing => ejection.backoff,
             Some(ejection) => (ejection.backoff * 2).min(MAX_BACKOFF),
             None => FIRST_BACKOFF,
--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -242,10 +242,10 @@
         let slots = f64::from(state.endpoint.slots);
         // A hit is expected to be at least as fast as a miss, so queued requests
         // are assumed to take as long as a hit.
-        let queued = service
+        let queued_latency = service
             .expected_hit_latency(request)
             .min(service.expected_miss_latency(request));
-        let wait = (load + 1.0 - slots).max(0.0) / slots * queued * slowness;
+        let wait = (load + 1.0 - slots).max(0.0) / slots * queued_latency * slowness;
         let saved = service.expected_miss_latency(request) - service.expected_hit_latency(request);
         let work = if object_cached || !request.sticky {
             service.expected_hit_latency(request)
@@ -254,7 +254,7 @@
         } else {
             service.expected_miss_latency(request) + saved * EVICTION_COST
         };
-        let cold = if state.is_cold(now) { 2.0 } else { 1.0 };
+        let cold_factor = if state.is_cold(now) { 2.0 } else { 1.0 };
         let failures = state.decayed(state.failures, 0.0, now);
         let failure_cost = if request.idempotent {
             FAILURE_COST_IDEMPOTENT
@@ -263,7 +263,7 @@
         };
         let cost = self.round_trip(&state.region)
             + wait
-            + work * slowness * cold
+            + work * slowness * cold_factor
             + failures * failure_cost
             + rank as f64 * RANK_COST;
         Some(Candidate {
--- a/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
@@ -30,18 +30,18 @@
 
 /// Assumed latency of a cache miss before one is measured, as a fraction of the
 /// target latency.
-const DEFAULT_MISS_LATENCY: f64 = 1.2;
+const DEFAULT_MISS_LATENCY_FRACTION: f64 = 1.2;
 
 /// Assumed latency of a cache hit before one is measured, as a fraction of the
 /// target latency.
-const DEFAULT_HIT_LATENCY: f64 = 0.5;
+const DEFAULT_HIT_LATENCY_FRACTION: f64 = 0.5;
 
 /// Largest fraction of the time left that an assumed latency may take.
-const MAX_DEFAULT_LATENCY: f64 = 0.5;
+const MAX_DEFAULT_LATENCY_FRACTION: f64 = 0.5;
 
 /// Longest wait for a slot of a less urgent request while more urgent requests
 /// use the same service, as a fraction of the target latency.
-const LESS_URGENT_WAIT: f64 = 0.5;
+const MAX_LESS_URGENT_WAIT_FRACTION: f64 = 0.5;
 
 /// How long after a more urgent request the wait of less urgent ones is limited.
 const URGENT_WINDOW: Duration = Duration::from_secs(2);
@@ -110,7 +110,7 @@
     /// Returns the expected latency of a cache miss in seconds, which is never
     /// shorter than that of a hit.
     pub(super) fn expected_miss_latency(&self, request: &PickRequest<'_>) -> f64 {
-        let default = default_latency(request, DEFAULT_MISS_LATENCY);
+        let default = default_latency(request, DEFAULT_MISS_LATENCY_FRACTION);
         self.miss_latency
             .unwrap_or(default)
             .max(self.expected_hit_latency(request))
@@ -118,7 +118,7 @@
 
     /// Returns the expected latency of a cache hit in seconds.
     pub(super) fn expected_hit_latency(&self, request: &PickRequest<'_>) -> f64 {
-        let default = default_latency(request, DEFAULT_HIT_LATENCY);
+        let default = default_latency(request, DEFAULT_HIT_LATENCY_FRACTION);
         self.hit_latency.unwrap_or(default)
     }
 
@@ -168,7 +168,9 @@
         let is_less_urgent = self.most_urgent.is_some_and(|(urgent, at)| {
             urgent < request.priority && now.saturating_duration_since(at) <= URGENT_WINDOW
         });
-        !is_less_urgent || candidate.wait <= request.target_latency.as_secs_f64() * LESS_URGENT_WAIT
+        !is_less_urgent
+            || candidate.wait
+                <= request.target_latency.as_secs_f64() * MAX_LESS_URGENT_WAIT_FRACTION
     }
 
     /// Returns the total slots in a region, without endpoints that drain or
@@ -201,6 +203,6 @@
 /// `fraction` of the target latency. It is limited to a fraction of the time
 /// left, because a request must not be refused for an assumed latency alone.
 pub(super) fn default_latency(request: &PickRequest<'_>, fraction: f64) -> f64 {
-    let limit = request.time_left.as_secs_f64() * MAX_DEFAULT_LATENCY;
+    let limit = request.time_left.as_secs_f64() * MAX_DEFAULT_LATENCY_FRACTION;
     (request.target_latency.as_secs_f64() * fraction).min(limit)
 }
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -118,8 +118,8 @@
     }
 
     /// Returns the peer addresses of the VMs of this region that were listed since
-    /// the last call. The caller sends each a heartbeat immediately, so that it
-    /// knows at once that this VM runs.
+    /// the last call. Each of them should be sent a heartbeat immediately, so that
+    /// it knows at once that this VM runs.
     pub fn take_new_members(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.new_members)
     }
--- a/crates/filbertgrade-coord/src/steering/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/mod.rs
@@ -2,9 +2,9 @@
 //! when it is refused.
 //!
 //! All decisions are functions of state and the time `now`, without clocks and
-//! sockets. VMs choose the same endpoints without exchanging messages, because
-//! they rank them by the same hash. Anything else that a VM knows about
-//! endpoints, it learns from its own requests.
+//! sockets. VMs choose the same endpoints even without exchanging messages,
+//! because they rank them by the same hash. Apart from the affinities that other
+//! VMs send, a VM learns the state of endpoints from its own requests.
 //!
 //! - [`deployment`] is the configuration in force.
 //! - [`endpoint`] and [`registry`] hold the registered endpoints.
--- a/crates/filbertgrade-coord/src/steering/quota/division.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/division.rs
@@ -146,8 +146,8 @@
     /// A region that is out of contact may still admit its last share, because
     /// only the link to it may have failed; that share stays reserved for it.
     /// The rest is divided over the other regions: each gets what arrives there
-    /// plus a fraction of the spare rate by its number of VMs. When arrivals
-    /// exceed the rest, it is divided almost in proportion to them.
+    /// plus a part of the spare rate in proportion to its number of VMs. When
+    /// arrivals exceed the rest, it is divided almost in proportion to them.
     ///
     /// Returns `None` while the last report of a region or VM is overdue.
     pub(super) fn region_share(
--- a/crates/filbertgrade-coord/src/steering/quota/requester.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/requester.rs
@@ -16,8 +16,9 @@
     pub(super) arrivals: EventRate,
     /// Tokens that were requested in advance, and when they expire.
     pub(super) prefetched: Option<(u32, Instant)>,
-    /// Set when no holder had a token: until when requests are refused without
-    /// another token request, and the wait that the holders reported.
+    /// Set when neither the holders nor the fallback had a token: until when
+    /// requests are refused without another token request, and the wait that is
+    /// returned with each refusal.
     pub(super) empty: Option<(Instant, Duration)>,
     /// Arrivals that have not been reported to a holder.
     pub(super) unreported: u32,
--- a/crates/filbertgrade-coord/tests/steering/load.rs
+++ b/crates/filbertgrade-coord/tests/steering/load.rs
@@ -76,7 +76,7 @@
 
 #[derive(Deserialize)]
 struct Slow {
-    /// The first endpoints, up to this number, are slow.
+    /// Number of slow endpoints, which are the first ones.
     count: usize,
     /// Factor by which their running times are multiplied.
     #[serde(rename = "times")]
--- a/crates/filbertgrade-coord/tests/steering/registry.rs
+++ b/crates/filbertgrade-coord/tests/steering/registry.rs
@@ -63,7 +63,7 @@
     registry.apply([written("a", false)], 5, start, None);
     registry.apply([removed("a")], 6, start, Some(start));
     assert_eq!(ids(&registry), ["a"]);
-    assert!(registry.drop_lapsed());
+    assert!(registry.remove_unregistered());
     assert!(ids(&registry).is_empty());
 }
 
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -618,7 +618,7 @@
     store_health.discard_local_outage();
     drop(store_health);
     log::info!("event=outage_was_own");
-    if lock(&node.registry).drop_lapsed() {
+    if lock(&node.registry).remove_unregistered() {
         update_balancer_endpoints(node, now);
     }
 }
