--- a/crates/filbertgrade-coord/src/dissemination.rs
+++ b/crates/filbertgrade-coord/src/dissemination.rs
@@ -42,8 +42,10 @@
 /// It leaves 3 s of the 5 s freshness bound for the poll and its retries.
 pub const POLL_DELAY: Duration = Duration::from_secs(2);
 
-/// Initial backoff between two polls of one agent; it doubles with each poll.
-const MIN_POLL_BACKOFF: Duration = Duration::from_millis(500);
+/// Base of the backoff between two polls of one agent, which is twice this time
+/// after the first poll and doubles with each further one. It is also the range
+/// of the random delay of the first poll.
+const BASE_POLL_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Maximum backoff between two polls of one agent. It limits the load of the
 /// store while no agent of the fleet has a confirmation.
@@ -132,9 +134,9 @@
 /// Decides whether an agent that is not a relay polls the store.
 ///
 /// `confirmed_at` is the instant of the newest confirmation, or of the agent's
-/// start if there is none. `last_poll` is the instant of the newest poll after
-/// `confirmed_at` and the number of polls after it, or `None` if there was no
-/// poll. The backoff doubles with each poll, and half of it is random, so that
+/// start if there is none. `last_poll` is the instant of the newest poll and the
+/// number of polls since `confirmed_at`, or `None` if there was none since then.
+/// The backoff doubles with each poll, and half of it is random, so that
 /// the agents of a fleet without relays do not poll simultaneously.
 pub fn next_store_poll(
     confirmed_at: Instant,
@@ -143,9 +145,9 @@
     now: Instant,
 ) -> StorePoll {
     let at = match last_poll {
-        None => confirmed_at + POLL_DELAY + jitter(MIN_POLL_BACKOFF, seed, 0),
+        None => confirmed_at + POLL_DELAY + jitter(BASE_POLL_BACKOFF, seed, 0),
         Some((polled_at, polls)) => {
-            let backoff = MIN_POLL_BACKOFF
+            let backoff = BASE_POLL_BACKOFF
                 .saturating_mul(1 << polls.min(8))
                 .min(MAX_POLL_BACKOFF);
             polled_at + backoff / 2 + jitter(backoff / 2, seed, polls)
--- a/crates/filbertgrade-coord/src/freshness.rs
+++ b/crates/filbertgrade-coord/src/freshness.rs
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Updates the time of the last confirmation from those of `held`, the
-    /// revision that this VM holds now.
+    /// Updates the time at which the store last confirmed `held`, the revision
+    /// that this VM holds now.
     ///
     /// It must be called after every change of the held revision or of the
     /// evidence. A confirmation of `held` is still valid when one of a newer
@@ -286,8 +286,8 @@
         let is_recent = |at: Instant| now.saturating_duration_since(at) <= self.max_age;
         // An outage is assumed shortly before the last confirmation gets too
         // old, so that a VM does not refuse requests in between. One eighth of
-        // the maximum age (625 ms of 5 s) covers two responses of an agent to its entry, which
-        // are 250 ms apart.
+        // the maximum age (625 ms of 5 s) covers two responses of an agent to its
+        // entry, which are 250 ms apart.
         let outage_after = self.max_age - self.max_age / 8;
         let answered_recently = |at: Instant| now.saturating_duration_since(at) <= outage_after;
         if held == 0 {
--- a/crates/filbertgrade-coord/src/ledger.rs
+++ b/crates/filbertgrade-coord/src/ledger.rs
@@ -187,8 +187,9 @@
 pub struct Renewal {
     /// The loan to extend.
     pub loan: LoanId,
-    /// Sequence number of the renewal for this loan. It matches a reply to the
-    /// renewal that it answers.
+    /// Sequence number of the renewal for this loan. The reply must be applied
+    /// together with this number, so that a reply to an earlier renewal is
+    /// recognized.
     pub number: u64,
 }
 
@@ -741,7 +742,8 @@
         true
     }
 
-    /// When the next loan or permission expires, or the base becomes usable.
+    /// When the next loan expires or is reclaimed, the permission to use the base
+    /// ends, or the base becomes usable. `None` if nothing is pending.
     pub fn next_event_at(&self) -> Option<Instant> {
         self.next_event().map(|(at, _)| at)
     }
--- a/crates/filbertgrade-coord/src/lib.rs
+++ b/crates/filbertgrade-coord/src/lib.rs
@@ -18,7 +18,8 @@
 //!   gives it a fencing token. [`rendezvous`] divides tasks among processes
 //!   without messages.
 //! - [`steering`] decides, for the requests of one VM, to which endpoint a request
-//!   is sent and when it is refused, without messages to other VMs.
+//!   is sent and when it is refused. The choice of an endpoint does not wait for
+//!   messages of other VMs.
 //! - [`weights`] moves traffic between regions in steps of limited size.
 //! - [`names`] has the types for validated names that all modules use.
 //!
--- a/crates/filbertgrade-coord/src/share_table.rs
+++ b/crates/filbertgrade-coord/src/share_table.rs
@@ -1,7 +1,7 @@
 //! The share table, which divides the limits of all teams among the VMs.
 //!
-//! The same fraction of every team's rate and burst belongs to a VM. Fractions
-//! are counted in units of 1/10,000. Units move in two steps: one version of
+//! Each VM has a fraction of the limits, the same for the rate and burst of every
+//! team. Fractions are counted in units of 1/10,000. Units move in two steps: one version of
 //! the table removes them from a VM, and a later version grants them to others
 //! once the VM can no longer be using them.
 
--- a/crates/filbertgrade-coord/src/slots.rs
+++ b/crates/filbertgrade-coord/src/slots.rs
@@ -200,7 +200,8 @@
     pub slots: u32,
     /// Number of slots that may be used now; fewer than `slots` during a ramp.
     pub open: u32,
-    /// Number of valid permits, which can exceed `open` after a ramp restarts.
+    /// Number of valid permits, which can exceed `open`, for example after a ramp
+    /// restarts.
     pub in_use: u32,
     /// Whether the endpoint is excluded from new grants.
     pub draining: bool,
@@ -517,8 +518,8 @@
     /// Grants free slots to waiting requests, to the teams in round-robin order.
     fn serve(&mut self, now: Instant) -> Vec<QueuedGrant> {
         let mut granted = Vec::new();
-        while let Some(late) = self.serve_one(now) {
-            granted.push(late);
+        while let Some(queued) = self.serve_one(now) {
+            granted.push(queued);
         }
         granted
     }
--- a/crates/filbertgrade-coord/src/spill.rs
+++ b/crates/filbertgrade-coord/src/spill.rs
@@ -1,5 +1,5 @@
-//! Limits how many requests may spill from the region that the weights chose to
-//! another region.
+//! Limits how many requests may spill, which means that they go to another region
+//! because the one chosen for them cannot handle them.
 
 use std::time::{Duration, Instant};
 
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -33,7 +33,7 @@
 pub struct Member {
     /// Name, unique in the fleet.
     pub vm: VmName,
-    /// Random number of its process, which tells restarts apart.
+    /// Random number of its process, which distinguishes its restarts.
     pub incarnation: u64,
     /// Address for callers' requests.
     pub caller_address: SocketAddr,
--- a/crates/filbertgrade-coord/tests/allocation.rs
+++ b/crates/filbertgrade-coord/tests/allocation.rs
@@ -178,6 +178,7 @@
                 step => prop_assert!(false, "{step:?}"),
             }
             if current != target {
+                // The TTL of 5 s plus the propagation time of 8 s.
                 let until = now + Duration::from_secs(13);
                 let step = next_weights(&current, &target, cap, last, ttl, until - Duration::from_millis(1));
                 prop_assert_eq!(step, WeightStep::Wait { until });
--- a/crates/filbertgrade-coord/tests/ledger/script.rs
+++ b/crates/filbertgrade-coord/tests/ledger/script.rs
@@ -63,15 +63,15 @@
             s.tokens,
             s.waiting,
         );
-        for (_, to, part, at) in &s.loans_out {
-            let (rate, burst) = (part.rate(), part.burst());
+        for (_, to, share, at) in &s.loans_out {
+            let (rate, burst) = (share.rate(), share.burst());
             out += &format!(
                 "\nout to {to}: {rate:.2}/s {burst:.2} until {}",
                 self.ms(*at)
             );
         }
-        for (id, part, at) in &s.loans_in {
-            let (rate, burst) = (part.rate(), part.burst());
+        for (id, share, at) in &s.loans_in {
+            let (rate, burst) = (share.rate(), share.burst());
             out += &format!(
                 "\nin from {}: {rate:.2}/s {burst:.2} until {}",
                 id.lender,
