--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -37,7 +37,8 @@
     pub incarnation: u64,
     /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Address for heartbeats and for the calls of VMs that poll it as a relay.
+    /// Address for datagrams and calls of other VMs, such as heartbeats, token
+    /// requests and the polls of VMs that use it as a relay.
     pub peer_address: SocketAddr,
     /// Region in which it runs.
     pub region: RegionName,
