--- a/crates/filbertgrade/tests/it/request_path.rs
+++ b/crates/filbertgrade/tests/it/request_path.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::{BackendServer, expected_answer};
+use filbertgrade_standins::backend::{BackendServer, expected_response};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 
@@ -28,9 +28,9 @@
     let response = send(vm, chart_request(Some(&secret), "r-1")).await.unwrap();
 
     assert_eq!(response.status(), StatusCode::OK);
-    assert_eq!(response.body(), &expected_answer("r-1", b"", 2000));
+    assert_eq!(response.body(), &expected_response("r-1", b"", 2000));
     let records: Vec<_> = fleet.backends.iter().map(BackendServer::records).collect();
-    assert_eq!(records.iter().map(|r| r.ran("r-1")).sum::<u64>(), 1);
+    assert_eq!(records.iter().map(|r| r.run_count("r-1")).sum::<u64>(), 1);
     assert_eq!(records.iter().map(|r| r.key_seen).sum::<u64>(), 0);
     let bytes_to_server: u64 = fleet.proxies.iter().map(|p| p.counts().to_server).sum();
     assert!(
@@ -61,7 +61,7 @@
         assert_eq!(response.headers()["filbertgrade-cause"], cause);
         assert_eq!(response.headers()["filbertgrade-outcome"], "not_run");
     }
-    assert!(fleet.backends.iter().all(|b| b.ran("r-2") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("r-2") == 0));
 }
 
 /// Returns whether the VM serves a request with this key.
--- a/crates/filbertgrade/tests/path/http2.rs
+++ b/crates/filbertgrade/tests/path/http2.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use http::Request;
 use http_body_util::{BodyExt, Full};
 use hyper_util::rt::{TokioExecutor, TokioIo};
@@ -43,7 +43,7 @@
                 let status = response.status();
                 let body = response.into_body().collect().await.unwrap().to_bytes();
                 if status == 200 {
-                    assert!(body == expected_answer(&id, id.as_bytes(), bytes), "{id}");
+                    assert!(body == expected_response(&id, id.as_bytes(), bytes), "{id}");
                 } else {
                     // The backend server sheds requests when all of its slots
                     // are busy.
@@ -56,7 +56,7 @@
     let mut served = 0;
     for task in tasks {
         let (id, was_served) = task.await.unwrap();
-        let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
+        let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&id)).sum();
         assert_eq!(ran, u64::from(was_served), "{id}");
         served += u64::from(was_served);
     }
@@ -90,7 +90,7 @@
         let id = format!("next-{n}");
         let response = request(&id, 1).await.unwrap();
         let body = response.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 500), "{id}");
+        assert!(body == expected_response(&id, b"", 500), "{id}");
     }
 }
 
@@ -120,5 +120,5 @@
     let big = request("big", 80_000).await;
     assert!(big.is_err() || big.is_ok_and(|response| response.status() == 431));
     assert_eq!(other.await.unwrap().status(), 200);
-    assert!(fleet.backends.iter().all(|b| b.ran("big") == 0));
+    assert!(fleet.backends.iter().all(|b| b.run_count("big") == 0));
 }
