--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -229,7 +229,7 @@
         }
         let first = self.cheapest(service, request, &ranking[..1], 0, now);
         let candidate = first
-            .filter(|candidate| service.permits(request, candidate, now))
+            .filter(|candidate| service.may_send(request, candidate, now))
             .or_else(|| self.pick_fallback(service, request, &ranking, now));
         // The spill limit applies only while the preferred endpoint is
         // available and lacks a free slot, not when it cannot be used at all.
--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -107,12 +107,12 @@
         let preferred = &service.endpoints[*preferred];
         if !preferred.is_available(now) {
             let candidate = self.cheapest(service, request, others, 1, now);
-            return candidate.filter(|candidate| service.permits(request, candidate, now));
+            return candidate.filter(|candidate| service.may_send(request, candidate, now));
         }
         // The object evicts others from the cache of another endpoint, so it
         // goes only to one that has a free slot.
         let has_free_slot = |candidate: &Candidate| {
-            candidate.wait <= 0.0 && service.permits(request, candidate, now)
+            candidate.wait <= 0.0 && service.may_send(request, candidate, now)
         };
         let (same_region, other_regions): (Vec<usize>, Vec<usize>) = others
             .iter()
--- a/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/service_state.rs
@@ -156,7 +156,7 @@
     /// Reports whether the request may be sent to the candidate: it must respond
     /// in time, and a less urgent request must not fill the queue that more
     /// urgent ones need.
-    pub(super) fn permits(
+    pub(super) fn may_send(
         &self,
         request: &PickRequest<'_>,
         candidate: &Candidate,
