--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -33,11 +33,12 @@
 pub struct Member {
     /// Name, unique in the fleet.
     pub vm: VmName,
-    /// Random number of its process, which tells restarts apart.
+    /// Random number of its process, which distinguishes its restarts.
     pub incarnation: u64,
     /// Address for callers' requests.
     pub caller_address: SocketAddr,
-    /// Address for heartbeats and for the calls of VMs that poll it as a relay.
+    /// Address for datagrams and calls of other VMs, such as heartbeats, token
+    /// requests and the polls of VMs that use it as a relay.
     pub peer_address: SocketAddr,
     /// Region in which it runs.
     pub region: RegionName,
@@ -118,8 +119,8 @@
     }
 
     /// Returns the peer addresses of the VMs of this region that were listed since
-    /// the last call. The caller sends each a heartbeat immediately, so that it
-    /// knows at once that this VM runs.
+    /// the last call. Each of them should be sent a heartbeat immediately, so that
+    /// it knows at once that this VM runs.
     pub fn take_new_members(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.new_members)
     }
