--- a/crates/filbertgrade-blocks/examples/measure.rs
+++ b/crates/filbertgrade-blocks/examples/measure.rs
@@ -5,8 +5,9 @@
 //!
 //! Without `--blocks`, the sizes are 50,000, 500,000 and 5,000,000. The blocks are synthetic:
 //! 85% IPv4 (of which 90% are /24, 6% /22 and 4% /28 inside a /24 of the table) and 15% IPv6
-//! (/48 and /56 within some thousands of /32). Neighbouring blocks tend to share a site:
-//! 70% have the main site of their /16 or /32, 20% one of three others, and 10% a random site.
+//! (/48 and /56 within one /32 per 250 blocks of the table, which makes 20,000 for the largest
+//! size). Neighbouring blocks tend to share a site: 70% have the main site of their /16 or /32,
+//! 20% one of three others, and 10% a random site.
 
 use std::collections::HashSet;
 use std::env;
--- a/crates/filbertgrade-blocks/src/chunk.rs
+++ b/crates/filbertgrade-blocks/src/chunk.rs
@@ -16,8 +16,8 @@
 use crate::page::Page;
 use crate::table::{BlockTable, Version, page_of};
 
-/// Maximum length of a chunk, a manifest or a part of a delta. The platform stores values of up to
-/// 1 MB, and a frame between agents is limited to 1 MiB.
+/// Maximum length in bytes of a chunk, a manifest or a part of a delta. The platform stores values
+/// of up to 1 MB, and a frame between agents is limited to 1 MiB.
 pub const MAX_CHUNK_BYTES: usize = 1_000_000;
 
 /// Once a chunk has this length, it ends before the next boundary page (see
--- a/crates/filbertgrade-blocks/src/codec.rs
+++ b/crates/filbertgrade-blocks/src/codec.rs
@@ -1,5 +1,5 @@
-//! The byte encoding: varints, entries as differences to the entry before, records of entries by
-//! page, and digests.
+//! The byte encoding: varints, entries relative to the previous entry, records of entries by page,
+//! and digests.
 
 use sha2::{Digest, Sha256};
 
--- a/crates/filbertgrade-blocks/src/delta.rs
+++ b/crates/filbertgrade-blocks/src/delta.rs
@@ -24,7 +24,7 @@
     pub base: Version,
     /// The resulting version, which must be higher than `base`.
     pub version: Version,
-    /// Entries to add. An entry whose prefix is already present replaces the site.
+    /// Entries to add. If a prefix is already in the base version, its site is replaced.
     pub set: Vec<BlockEntry>,
     /// Prefixes to remove. Each must be in the base version.
     pub removed: Vec<IpNet>,
--- a/crates/filbertgrade-blocks/src/error.rs
+++ b/crates/filbertgrade-blocks/src/error.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The error for a delta, or a newer table, that cannot replace the current table.
+/// The error for an invalid delta, or for a delta or table that cannot replace the current table.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(transparent)]
 pub struct DeltaError(DeltaErrorKind);
@@ -69,7 +69,8 @@
         matches!(self.0, DeltaErrorKind::NotNewer { .. })
     }
 
-    /// Returns the prefix of the invalid entry, or `None` if the versions do not fit.
+    /// Returns the prefix of the entry or removal that cannot be applied, or `None` if the versions
+    /// do not fit.
     pub fn prefix(&self) -> Option<IpNet> {
         match &self.0 {
             DeltaErrorKind::NotInTable { prefix } => Some(*prefix),
--- a/crates/filbertgrade-blocks/src/fetch.rs
+++ b/crates/filbertgrade-blocks/src/fetch.rs
@@ -25,8 +25,8 @@
     pub piece_bytes: u32,
     /// Bytes charged to the budget for each request and the framing of its response. Default 120.
     pub overhead_bytes: u32,
-    /// Time after which a request is considered lost. Default 3 s, which is at least twice the time
-    /// for a piece at the default rate and a round trip between regions.
+    /// Time after which a request is considered lost. Default 3 s, at least twice the time that a
+    /// piece at the default rate and a round trip between regions take together.
     pub request_timeout: Duration,
     /// Time without requests to a peer after a timeout. It doubles with each consecutive timeout,
     /// up to 32 times this value. Default 10 s.
@@ -64,7 +64,7 @@
 /// A request to one peer for a range of bytes of a chunk, called a piece.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PieceRequest {
-    /// The peer that the request is for.
+    /// The peer to send the request to.
     pub peer: PeerId,
     /// Index of the chunk in the manifest.
     pub index: usize,
@@ -93,9 +93,10 @@
     Unexpected,
     /// The length of the piece differs from the requested one. The peer is banned.
     WrongLength,
-    /// The chunk does not match its identifier and is fetched again, this time from a single peer.
-    /// Peers that sent wrong bytes are banned: immediately if all pieces came from one peer, and
-    /// otherwise once the correct bytes are known and show which pieces were wrong.
+    /// The chunk does not match its identifier and is fetched again. If all pieces came from one
+    /// peer, that peer is banned immediately. Otherwise the chunk is now fetched from a single
+    /// peer, and the peers that sent wrong bytes are banned once the correct bytes show which
+    /// pieces were wrong.
     Corrupt,
 }
 
@@ -208,7 +209,8 @@
     }
 
     /// Removes a peer that is no longer available. Another peer continues the chunk requested from
-    /// it after the bytes received so far, unless all bytes of that chunk must come from one peer.
+    /// it after the bytes received so far. If all bytes of the chunk must come from one peer, the
+    /// chunk starts over.
     pub fn remove_peer(&mut self, peer: PeerId) {
         // The state of a banned peer is kept, so that adding the peer again does not lift the ban.
         if let Some(state) = self.peers.get_mut(&peer) {
@@ -237,7 +239,7 @@
     }
 
     /// Returns the next action. After a [`FetchStep::Request`], send the request and call this
-    /// again immediately, as there may be more to request.
+    /// again immediately: there may be another request to send, or a time to wait for.
     pub fn next(&mut self, now: Duration) -> FetchStep {
         self.expire_requests(now);
         if self.chunks.iter().all(|chunk| chunk.done) {
@@ -387,6 +389,8 @@
     fn record_request(&mut self, request: &PieceRequest, now: Duration) {
         let cost = request.len + self.config.overhead_bytes;
         let seconds = f64::from(cost) / f64::from(self.config.bytes_per_s);
+        // With a rate of zero, `seconds` is infinite. Half the maximum keeps the sum from
+        // overflowing.
         self.budget_available_at =
             now + Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX / 2);
         self.chunks[request.index].in_flight = true;
--- a/crates/filbertgrade-blocks/src/page.rs
+++ b/crates/filbertgrade-blocks/src/page.rs
@@ -132,6 +132,7 @@
         push_range(&mut ranges, entry.offset, entry.site);
         enclosing.push((entry.offset + (1 << (width - entry.len)), entry.site));
     }
+    // No range starts after a prefix that ends with the page.
     let page_end = 1 << width;
     end_prefixes(&mut ranges, &mut enclosing, page_end - 1);
     ranges
--- a/crates/filbertgrade-blocks/tests/copy.rs
+++ b/crates/filbertgrade-blocks/tests/copy.rs
@@ -397,7 +397,7 @@
     let extra = spent as f64 / needed - 1.0;
     assert!(
         extra <= allowed_extra,
-        "requested {extra:.3} more than needed, as a fraction"
+        "the fraction of bytes beyond those needed is {extra:.3}"
     );
 }
 
--- a/crates/filbertgrade/examples/agents_at_scale.rs
+++ b/crates/filbertgrade/examples/agents_at_scale.rs
@@ -15,7 +15,9 @@
 //! running agents, so that the agents work with a list of the target's size.
 //!
 //! `--stream-s` is the duration of each phase with changes at a constant rate,
-//! and `--rest-s` that of the phase without changes.
+//! and `--rest-s` that of the phase without changes. `--binary` is the path of
+//! the `filbertgrade` binary, by default the one in the target directory that
+//! holds this example.
 //!
 //! The program kills the processes that it started when it ends, and runs at
 //! most [`MAX_AGENTS`] agents at a time.
@@ -169,7 +171,8 @@
 }
 
 /// Runs the platform stand-in until the end of standard input. The lines `down` and `up` start and
-/// end an outage. After each line of input, the counts are printed as one line.
+/// end an outage, and any other line changes nothing. After each line of input, the counts of
+/// reads, writes, watches and waiting watches are printed as one line.
 async fn serve_store(address: SocketAddr) -> Result<()> {
     let platform = PlatformServer::bind(address).await?;
     println!("ready");
@@ -226,6 +229,7 @@
     let load_before = load_average()?;
     let mut fleet = Fleet::start(options, count, run).await?;
     let start_time = fleet.wait_for_start().await?;
+    // Ends the run early if the agents use too much memory.
     fleet.memory()?;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let idle = fleet.idle_phase(options.idle).await?;
@@ -449,7 +453,7 @@
     /// Measures for how long the state of the agents is valid during a store outage, and the calls
     /// that they make to the store after it.
     async fn outage(&mut self) -> Result<Value> {
-        self.store.counts("down")?;
+        self.store.send_command("down")?;
         let started = Instant::now();
         let mut all_valid_ms = Vec::new();
         let mut late_valid_ms = Vec::new();
@@ -467,14 +471,14 @@
                 }
             }
         }
-        let before = self.store.counts("up")?;
+        let before = self.store.send_command("up")?;
         let outage_end = Instant::now();
         let revision = self.change().await?;
         let latency = self
             .wait_for_all(revision, Instant::now() + PROPAGATION_LIMIT)
             .await?;
         tokio::time::sleep(RECOVERY_WINDOW.saturating_sub(outage_end.elapsed())).await;
-        let after = self.store.counts("counts")?;
+        let after = self.store.send_command("counts")?;
         Ok(json!({
             "seconds": OUTAGE.as_secs(),
             "answers": all_valid_ms.len(),
@@ -512,7 +516,7 @@
             at: Instant::now(),
             traffic,
             cpu,
-            counts: self.store.counts("counts")?,
+            counts: self.store.send_command("counts")?,
         })
     }
 
@@ -686,7 +690,7 @@
 
     /// Sends a command to the process. Returns the numbers of reads, writes and watches so far, and
     /// of watches that wait.
-    fn counts(&mut self, command: &str) -> Result<[f64; 4]> {
+    fn send_command(&mut self, command: &str) -> Result<[f64; 4]> {
         let input = self
             .input
             .as_mut()
@@ -719,7 +723,7 @@
     traffic: Vec<LinkTraffic>,
     /// Processor seconds, by agent.
     cpu: Vec<f64>,
-    /// See [`StoreProcess::counts`].
+    /// See [`StoreProcess::send_command`].
     counts: [f64; 4],
 }
 
@@ -828,17 +832,14 @@
 
 /// Returns slope and intercept of a line fitted by least squares.
 fn fit(points: &[(f64, f64)]) -> (f64, f64) {
-    let x = mean(&points.iter().map(|p| p.0).collect::<Vec<_>>());
-    let y = mean(&points.iter().map(|p| p.1).collect::<Vec<_>>());
-    let x_deviation: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    if x_deviation == 0.0 {
-        return (0.0, y);
-    }
-    let xy_deviation: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    (
-        xy_deviation / x_deviation,
-        y - xy_deviation / x_deviation * x,
-    )
+    let mean_x = mean(&points.iter().map(|p| p.0).collect::<Vec<_>>());
+    let mean_y = mean(&points.iter().map(|p| p.1).collect::<Vec<_>>());
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    if sum_xx == 0.0 {
+        return (0.0, mean_y);
+    }
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    (sum_xy / sum_xx, mean_y - sum_xy / sum_xx * mean_x)
 }
 
 /// Returns count, mean and maximum of latencies, in milliseconds.
--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -66,6 +66,7 @@
     /// negative.
     Reconciled {
         tokens: f64,
+        /// Rate per second of the team, and also the capacity of the bucket.
         limit: f64,
         /// Time up to which the bucket is filled.
         filled_at: Instant,
@@ -186,8 +187,8 @@
 
     /// Schedules the arrival of a message at VM `to`.
     fn send(&mut self, now: Instant, from: usize, to: usize, team: usize, message: Message) {
-        // One-way latency within a region or between regions. VMs are assigned to three regions in
-        // turn.
+        // One-way latencies within a region and between regions, as in `examples/vandeputte.toml`.
+        // VMs are assigned to its three regions in turn.
         let ms = if from % 3 == to % 3 { 0.5 } else { 55.0 };
         let jitter: f64 = self.rng.random_range(1.0..1.1);
         let at = now + Duration::from_secs_f64(ms * jitter / 1_000.0);
@@ -259,7 +260,7 @@
         while let Some(arrived) = state.queue.front().copied() {
             if now >= arrived + MAX_WAIT {
                 state.limiter.abandon(now);
-            } else if state.limiter.retry(now) {
+            } else if state.limiter.try_take(now) {
                 self.admitted[team].push(now);
                 if team != OVERLOADING_TEAM {
                     self.waits_us.push((now - arrived).as_micros());
@@ -364,7 +365,7 @@
                 Admission::Refused(_) => None,
             };
         }
-        Some(self.queue.is_empty() && self.limiter.retry(now))
+        Some(self.queue.is_empty() && self.limiter.try_take(now))
     }
 }
 
@@ -392,7 +393,7 @@
     }
 
     /// Takes one token if there is one.
-    fn retry(&mut self, now: Instant) -> bool {
+    fn try_take(&mut self, now: Instant) -> bool {
         match self {
             Limiter::Bucket(bucket) => bucket.try_take(now),
             Limiter::Ledger(ledger) => ledger.retry(now) == Admission::Admitted,
