--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -1,6 +1,6 @@
 //! Stand-in for a backend server.
 //!
-//! The server speaks HTTP/1.1 and HTTP/2 without TLS and serves any path `/<service>/...`. It
+//! The server supports HTTP/1.1 and HTTP/2 without TLS and serves any path `/<service>/...`. It
 //! reads the complete request body and responds with 200 and the body of [`expected_response`].
 //! Query parameters of the request change the response:
 //!
@@ -72,7 +72,8 @@
     pub connection_limit: usize,
     /// Distribution of the service time of a request. Default uniform from 2 ms to 8 ms.
     pub service_time: ServiceTime,
-    /// Number of requests after the start that take longer by `cold_factor`. Default 0.
+    /// Number of requests after the start whose service time is multiplied by `cold_factor`.
+    /// Default 0.
     pub cold_requests: u64,
     /// Factor by which the service time of cold requests is multiplied. Default 4.
     pub cold_factor: f64,
@@ -440,10 +441,10 @@
     }
 }
 
-/// Decrements `left` unless it is zero, and returns whether it was positive.
-fn consume_one(left: &mut u64) -> bool {
-    let positive = *left > 0;
-    *left = left.saturating_sub(1);
+/// Decrements `remaining` unless it is zero, and returns whether it was positive.
+fn consume_one(remaining: &mut u64) -> bool {
+    let positive = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
     positive
 }
 
--- a/crates/filbertgrade-standins/src/lib.rs
+++ b/crates/filbertgrade-standins/src/lib.rs
@@ -5,7 +5,8 @@
 //! - [`backend`] provides a backend server with slots, cold starts, load reports and drains.
 //! - [`proxy`] provides a TCP proxy that injects faults.
 //! - [`node`] provides the systems around a node: the platform's store and the endpoints.
-//! - [`soak`] runs real nodes under random faults and checks their guarantees.
+//! - [`soak`] runs real nodes under random faults and checks the promises to callers, backend
+//!   servers and operators.
 //! - [`caller`] sends requests, verifies the responses and compares them with the records of the
 //!   backend servers.
 
--- a/crates/filbertgrade-standins/src/node/endpoint.rs
+++ b/crates/filbertgrade-standins/src/node/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server in the platform's protocol, with configurable faults.
+//! A stand-in for a backend server of the platform, with configurable faults.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/filbertgrade-standins/src/node/mod.rs
+++ b/crates/filbertgrade-standins/src/node/mod.rs
@@ -9,8 +9,8 @@
 /// Returns a loopback address that differs from the last 249 addresses that this process received,
 /// and very probably from those of other processes.
 ///
-/// A program can listen on any port of the address and bind it again when it is restarted. A free
-/// port of 127.0.0.1 could have been taken by another process in the meantime.
+/// A program can listen on any port of the address and bind it again when it is restarted. A port
+/// of 127.0.0.1 that was free at the first start could be taken by another process by then.
 pub fn unique_loopback_address() -> Ipv4Addr {
     /// Number of addresses of one process before the first one is reused.
     const ADDRESSES_PER_PROCESS: u32 = 250;
--- a/crates/filbertgrade-standins/src/node/store.rs
+++ b/crates/filbertgrade-standins/src/node/store.rs
@@ -128,7 +128,7 @@
     }
 
     /// Discards the history of changes, so that watches have to list the objects again.
-    pub fn forget_history(&self) {
+    pub fn discard_history(&self) {
         let mut state = lock(&self.state);
         state.discarded_revision = state.revision;
         state.log.clear();
--- a/crates/filbertgrade-standins/src/proxy.rs
+++ b/crates/filbertgrade-standins/src/proxy.rs
@@ -194,12 +194,12 @@
     }
 
     /// Resets every open connection on both sides.
-    pub fn cut_open(&self) {
+    pub fn reset_open(&self) {
         self.reset_where(|_| true);
     }
 
     /// Resets every open connection from `source` on both sides.
-    pub fn cut_open_from(&self, source: IpAddr) {
+    pub fn reset_open_from(&self, source: IpAddr) {
         self.reset_where(|from| from == source);
     }
 
--- a/crates/filbertgrade-standins/src/soak/inject.rs
+++ b/crates/filbertgrade-standins/src/soak/inject.rs
@@ -89,7 +89,7 @@
         Fault::StopVm(vm) => stop(state, &vms[vm], length).await,
         Fault::StoreSilent => inject_store_fault(state, StoreFault::Unresponsive, length).await,
         Fault::StoreBusy => inject_store_fault(state, StoreFault::Busy, length).await,
-        Fault::StoreForgets => state.store.forget_history(),
+        Fault::StoreForgets => state.store.discard_history(),
         Fault::StoreSlow(vm) => {
             let slow = proxy::Fault {
                 delay: SLOW_DELAY,
@@ -106,17 +106,17 @@
         }
         Fault::StoreRefuses(vm) => {
             vms[vm].lock().await.store_proxy.set_refuse(true);
-            vms[vm].lock().await.store_proxy.cut_open();
+            vms[vm].lock().await.store_proxy.reset_open();
             tokio::time::sleep(length).await;
             vms[vm].lock().await.store_proxy.set_refuse(false);
         }
-        Fault::StoreResets(vm) => vms[vm].lock().await.store_proxy.cut_open(),
+        Fault::StoreResets(vm) => vms[vm].lock().await.store_proxy.reset_open(),
         Fault::Endpoint(endpoint, behavior) => {
             state.endpoints[endpoint].set_behavior(behavior);
             tokio::time::sleep(length).await;
             state.endpoints[endpoint].set_behavior(EndpointBehavior::Serves);
         }
-        Fault::EndpointResets(endpoint) => state.proxies[endpoint].cut_open(),
+        Fault::EndpointResets(endpoint) => state.proxies[endpoint].reset_open(),
         Fault::EndpointSilent(endpoint) => state.proxies[endpoint].freeze_open(),
         Fault::EndpointSlow(endpoint) => {
             let slow = proxy::Fault {
@@ -142,7 +142,7 @@
 async fn restart(vm: &SharedVm) {
     let mut vm = vm.lock().await;
     if let Err(error) = vm.start() {
-        println!("{} could not be started again: {error}", vm.name);
+        println!("{} is not started: {error}", vm.name);
     }
 }
 
@@ -172,7 +172,7 @@
     if let Some(failure) = failure {
         lock(&state.history).failed_stops.push(failure);
         if let Err(error) = child.kill().await {
-            println!("{name} could not be killed: {error}");
+            println!("{name} is not killed: {error}");
         }
     }
     tokio::time::sleep(length).await;
--- a/crates/filbertgrade-standins/src/soak/mod.rs
+++ b/crates/filbertgrade-standins/src/soak/mod.rs
@@ -283,13 +283,13 @@
     number: usize,
 ) {
     let region = DOMAINS[number % DOMAINS.len()].1;
-    let mut kept: Option<Connection> = None;
+    let mut open_connection: Option<Connection> = None;
     loop {
         tokio::time::sleep(MEAN_CALLER_PAUSE.mul_f64(rng.random_range(0.2..1.8))).await;
         if rng.random_bool(RECONNECT_PROBABILITY) {
-            kept = None;
+            open_connection = None;
         }
-        let connection = match kept.take() {
+        let connection = match open_connection.take() {
             Some(connection) => connection,
             None => {
                 let lookup_address = lookup_addresses[rng.random_range(0..lookup_addresses.len())];
@@ -307,7 +307,7 @@
                 }
             }
         };
-        kept = state.send_request(connection, &mut rng).await;
+        open_connection = state.send_request(connection, &mut rng).await;
     }
 }
 
--- a/crates/filbertgrade-standins/tests/proxy.rs
+++ b/crates/filbertgrade-standins/tests/proxy.rs
@@ -161,13 +161,13 @@
     assert_eq!(received, b"trun");
 }
 
-/// Guards against a cut or a refused connection that looks like a regular end of the stream.
+/// Guards against a reset or refused connection that looks like a regular end of the stream.
 #[tokio::test]
-async fn cut_and_refused_connections_are_reset() {
+async fn open_and_refused_connections_are_reset() {
     let proxy = start_echo_proxy().await;
     let mut stream = connect(&proxy).await;
     echo_round_trip(&mut stream, b"before").await.unwrap();
-    proxy.cut_open();
+    proxy.reset_open();
     assert_eq!(
         stream.read_u8().await.unwrap_err().kind(),
         ErrorKind::ConnectionReset
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -231,7 +231,7 @@
     let operator_listener = operator::listen(address)
         .await
         .map_err(|source| AgentError::Listen { address, source })?;
-    operator::record_metrics();
+    operator::install_metrics_recorder();
     tokio::spawn(dump::operator_port(&agent).serve(operator_listener));
     tokio::spawn(store::follow_store(Arc::clone(&agent)));
     tokio::spawn(pull::pull_from_peers(Arc::clone(&agent)));
--- a/crates/filbertgrade/src/process/command/apply.rs
+++ b/crates/filbertgrade/src/process/command/apply.rs
@@ -153,12 +153,12 @@
         stored::decode_root(&value).map(|root| root.version)
     };
     let outcome = match write(platform, CONFIG_ROOT, value, condition, is_own).await? {
-        Written::Answered(_) => Outcome::Accepted { version },
+        Written::Confirmed(_) => Outcome::Accepted { version },
         Written::Found(object) => Outcome::Found {
             version,
             now: version_of(Some(object))?,
         },
-        Written::Lost(object) => {
+        Written::Conflict(object) => {
             let winner = version_of(object)?;
             return Err(CommandError::Conflict { winner });
         }
@@ -297,7 +297,7 @@
     for object in &listed.objects {
         let value = object.value.as_deref().unwrap_or_default();
         if object.name.starts_with("vms/") {
-            refusals.extend(VmRecord::decode(value).and_then(|vm| lost_domain(now, next, &vm)));
+            refusals.extend(VmRecord::decode(value).and_then(|vm| removed_domain(now, next, &vm)));
         } else if let Ok(key) = serde_json::from_slice::<KeyRecord>(value)
             && key.state == KeyState::Granted
             && let Ok(team) = TeamName::try_from(key.team.as_str())
@@ -315,7 +315,7 @@
 
 /// A message if the failure domain of a live VM is in `now`, but not in the
 /// same region of `next`.
-fn lost_domain(now: &Config, next: &Config, vm: &VmRecord) -> Option<String> {
+fn removed_domain(now: &Config, next: &Config, vm: &VmRecord) -> Option<String> {
     let (region, domain) = (&vm.region, &vm.failure_domain);
     let has_domain = |cfg: &Config| cfg.region_of(domain) == Some(region);
     (vm.is_live() && has_domain(now) && !has_domain(next)).then(|| {
--- a/crates/filbertgrade/src/process/command/dev/deployment.rs
+++ b/crates/filbertgrade/src/process/command/dev/deployment.rs
@@ -43,7 +43,7 @@
 
 /// Address of the proxy in front of the store. The store itself listens on the
 /// next port.
-const STORE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 42, 0, 1)), 6000);
+const STORE_PROXY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 42, 0, 1)), 6000);
 
 /// Why `dev` failed.
 #[derive(Debug, thiserror::Error)]
@@ -108,7 +108,7 @@
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
-/// A backend server and its position in the deployment.
+/// A backend server, with its settings in the configuration.
 #[derive(Debug)]
 struct Server {
     /// Address in the configuration, on which a proxy listens.
@@ -118,7 +118,7 @@
     backend: BackendServer,
 }
 
-/// Position of a process in the network. The store has no failure domain.
+/// Region and failure domain of a process. The store has no failure domain.
 #[derive(Clone, Debug)]
 struct Location {
     region: RegionName,
@@ -134,14 +134,16 @@
         vms: usize,
         seed: u64,
     ) -> Result<Self, DevError> {
-        let vms = place_vms(&config, vms)?;
+        let vms = create_vm_records(&config, vms)?;
         let network = Network::new(&config, &vms);
-        let real_store = SocketAddr::new(STORE.ip(), STORE.port() + 1);
-        let platform = PlatformServer::bind(real_store)
+        let store_address = SocketAddr::new(STORE_PROXY.ip(), STORE_PROXY.port() + 1);
+        let platform = PlatformServer::bind(store_address)
             .await
-            .map_err(|source| listen_error(real_store, source))?;
+            .map_err(|source| listen_error(store_address, source))?;
         let store_location = network.store_location();
-        let store_proxy = network.proxy(STORE, real_store, &store_location).await?;
+        let store_proxy = network
+            .proxy(STORE_PROXY, store_address, &store_location)
+            .await?;
         let mut control_proxies = vec![(store_location.region, store_proxy)];
         let mut request_proxies = Vec::new();
         let servers = start_servers(&config, &network, seed, &mut request_proxies).await?;
@@ -149,7 +151,7 @@
             platform.put(&format!("vms/{}", vm.name), vm.encode());
         }
         let keys = grant_keys(&config, &platform)?;
-        apply_text(&HttpPlatform::new(real_store, None), text).await?;
+        apply_text(&HttpPlatform::new(store_address, None), text).await?;
         let mut tasks = Vec::new();
         for vm in &vms {
             let location = Location {
@@ -167,7 +169,7 @@
                     control_proxies.push((vm.region.clone(), proxy));
                 }
             }
-            tasks.extend(start_vm(vm, STORE, ports));
+            tasks.extend(start_vm(vm, STORE_PROXY, ports));
         }
         Ok(Self {
             config,
@@ -469,7 +471,7 @@
 }
 
 /// Creates the records of the VMs, assigned to the failure domains in turn.
-fn place_vms(config: &Config, count: usize) -> Result<Vec<VmRecord>, NameError> {
+fn create_vm_records(config: &Config, count: usize) -> Result<Vec<VmRecord>, NameError> {
     let domains: Vec<(&RegionName, &FailureDomainName)> = config
         .regions
         .iter()
--- a/crates/filbertgrade/src/process/command/dev/mod.rs
+++ b/crates/filbertgrade/src/process/command/dev/mod.rs
@@ -71,7 +71,7 @@
     let load = flags.load.unwrap_or(DEFAULT_LOAD);
     let progress = Progress::new(flags.json);
 
-    progress.print(&format!("starting {}", title(&flags.file)));
+    progress.print(&format!("starting {}", file_name(&flags.file)));
     let deployment =
         Deployment::start(config, &text, flags.vms.unwrap_or(DEFAULT_VMS), seed).await?;
     let ready = deployment.wait_until_ready().await?;
@@ -264,7 +264,7 @@
 }
 
 /// The file name without its folder.
-fn title(path: &Path) -> String {
+fn file_name(path: &Path) -> String {
     path.file_name()
         .unwrap_or(path.as_os_str())
         .to_string_lossy()
--- a/crates/filbertgrade/src/process/command/dev/report.rs
+++ b/crates/filbertgrade/src/process/command/dev/report.rs
@@ -98,7 +98,7 @@
         headroom: Headroom,
         drain: Duration,
     ) -> Self {
-        let joined = load.compare_with_backends(records, MAX_TRANSIT_JITTER);
+        let comparison = load.compare_with_backends(records, MAX_TRANSIT_JITTER);
         let latency = load.latency_us();
         let direct = direct.latency_us();
         let ms = |us: u64| us as f64 / 1000.0;
@@ -113,13 +113,13 @@
             requests: teams.clone().map(|team| team.sent).sum(),
             lost: load.lost,
             cut: load.cut,
-            repeated: joined.repeated,
+            repeated: comparison.repeated,
             wrong_answer: load.wrong_answer,
-            wrong_team: joined.wrong_team,
-            ran_after_not_run: joined.ran_after_not_run,
-            key_seen_by_backend: joined.key_seen_by_backend,
-            over_rate: joined.over_rate,
-            over_slots: joined.over_slots,
+            wrong_team: comparison.wrong_team,
+            ran_after_not_run: comparison.ran_after_not_run,
+            key_seen_by_backend: comparison.key_seen_by_backend,
+            over_rate: comparison.over_rate,
+            over_slots: comparison.over_slots,
             over_connections: records.iter().map(|r| r.connections_over_limit).sum(),
             refused_within_rate: teams.clone().map(|team| team.refused_within_rate).sum(),
             refused_over_rate: teams.map(|team| team.refused_over_rate).sum(),
--- a/crates/filbertgrade/src/process/command/drain.rs
+++ b/crates/filbertgrade/src/process/command/drain.rs
@@ -75,9 +75,9 @@
     // All drain objects have the same content, so one that another operator
     // wrote starts the same drain.
     match write(platform, object, value, Condition::Absent, |_| true).await? {
-        Written::Answered(revision) => Ok(revision),
-        Written::Found(object) | Written::Lost(Some(object)) => Ok(object.revision),
-        Written::Lost(None) => Err(changed(object)),
+        Written::Confirmed(revision) => Ok(revision),
+        Written::Found(object) | Written::Conflict(Some(object)) => Ok(object.revision),
+        Written::Conflict(None) => Err(changed(object)),
     }
 }
 
--- a/crates/filbertgrade/src/process/command/error.rs
+++ b/crates/filbertgrade/src/process/command/error.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum CommandError {
-    /// Flags or environment variables are missing or malformed.
+    /// Flags or environment variables are missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// A file on the command line cannot be read.
--- a/crates/filbertgrade/src/process/command/explain.rs
+++ b/crates/filbertgrade/src/process/command/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: prints the log lines of one request and why it ended as it did.
+//! `explain`: prints the log lines of one request from the logs of several
+//! processes, and why it ended as it did.
 
 use std::fs::File;
 use std::io::{BufReader, IsTerminal};
--- a/crates/filbertgrade/src/process/command/flags.rs
+++ b/crates/filbertgrade/src/process/command/flags.rs
@@ -165,7 +165,7 @@
             /// Port for links between agents.
             optional --agent-peer-port port: String
         }
-        /// Shows the log lines of one request and why it ended as it did.
+        /// Shows the log lines of one request from several processes, and why it ended as it did.
         cmd explain {
             /// Id of the request.
             required id: String
@@ -201,7 +201,7 @@
             ///
             /// # Errors
             ///
-            /// Lists every missing or malformed setting.
+            /// Lists every missing or invalid setting.
             pub fn settings(self) -> Result<VmSettings, SettingsError> {
                 let flags = VmFlags {
                     vm: self.vm,
--- a/crates/filbertgrade/src/process/command/key.rs
+++ b/crates/filbertgrade/src/process/command/key.rs
@@ -31,11 +31,11 @@
     let value = encode(&name, &record)?;
     let is_own = |object: &Object| object.value.as_ref() == Some(&value);
     match write(&platform, &name, value.clone(), Condition::Absent, is_own).await? {
-        Written::Answered(_) | Written::Found(_) => {
+        Written::Confirmed(_) | Written::Found(_) => {
             println!("{}", secret.reveal());
             Ok(())
         }
-        Written::Lost(_) => Err(CommandError::Changed { name }),
+        Written::Conflict(_) => Err(CommandError::Changed { name }),
     }
 }
 
@@ -115,9 +115,9 @@
     let condition = Condition::At(object.revision);
     let withdrawn = |object: &Object| decode(object).is_ok_and(|r| r.state == KeyState::Withdrawn);
     match write(platform, &name, value, condition, withdrawn).await? {
-        Written::Answered(revision) => Ok(revision),
+        Written::Confirmed(revision) => Ok(revision),
         Written::Found(object) => Ok(object.revision),
-        Written::Lost(_) => Err(CommandError::Changed { name }),
+        Written::Conflict(_) => Err(CommandError::Changed { name }),
     }
 }
 
--- a/crates/filbertgrade/src/process/command/write.rs
+++ b/crates/filbertgrade/src/process/command/write.rs
@@ -20,11 +20,11 @@
 #[derive(Debug)]
 pub(super) enum Written {
     /// The store confirmed the write.
-    Answered(Revision),
+    Confirmed(Revision),
     /// The response was lost, but the object shows that the write took effect.
     Found(Object),
     /// The condition was not met. Contains the current object, if it exists.
-    Lost(Option<Object>),
+    Conflict(Option<Object>),
 }
 
 /// Writes `value` if `condition` is met. `is_own` returns whether an object
@@ -45,12 +45,12 @@
     let mut unanswered = false;
     loop {
         let error = match platform.put(name, value.clone(), condition).await {
-            Ok(revision) => return Ok(Written::Answered(revision)),
+            Ok(revision) => return Ok(Written::Confirmed(revision)),
             Err(error) if error.is_conflict() => {
                 let at_least = error.current_revision().unwrap_or(0);
                 match read_from(platform, name, at_least, deadline).await {
                     Ok(Some(object)) if is_own(&object) => return Ok(Written::Found(object)),
-                    Ok(object) => return Ok(Written::Lost(object)),
+                    Ok(object) => return Ok(Written::Conflict(object)),
                     Err(error) => error,
                 }
             }
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -151,7 +151,7 @@
     .await?;
     log::info!("event=entry_started vm={} address={address}", settings.vm);
     let entry = Arc::new(Entry::new(settings));
-    operator::record_metrics();
+    operator::install_metrics_recorder();
     tokio::spawn(dump::operator_port(&entry).serve(operator_listener));
     tokio::spawn(feed::follow_agent(Arc::clone(&entry)));
     tokio::spawn(serve_peers(Arc::clone(&entry), peer_listener));
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -302,7 +302,7 @@
     let stop = StopSignals::new().map_err(NodeError::Signals)?;
     let reload = reload_signal().map_err(NodeError::Signals)?;
     let listeners = Listeners::bind(&settings, metrics_port).await?;
-    operator::record_metrics();
+    operator::install_metrics_recorder();
     let Listeners {
         callers,
         lookups,
--- a/crates/filbertgrade/src/process/operator.rs
+++ b/crates/filbertgrade/src/process/operator.rs
@@ -21,7 +21,7 @@
 
 use crate::logfmt;
 
-/// Maximum number of connections. Operators and one scraper need few, and the
+/// Maximum number of concurrent connections. Operators and one scraper need few, and the
 /// limit leaves memory and file descriptors to callers.
 const MAX_CONNECTIONS: usize = 32;
 
@@ -147,7 +147,7 @@
 /// is called before any task that records metrics is started. Must be called
 /// within a Tokio runtime. If another recorder was installed before, it stays,
 /// and `/metrics` responds with 503.
-pub(crate) fn record_metrics() {
+pub(crate) fn install_metrics_recorder() {
     METRICS.get_or_init(|| {
         let handle = match PrometheusBuilder::new().install_recorder() {
             Ok(handle) => handle,
--- a/crates/filbertgrade/src/process/settings.rs
+++ b/crates/filbertgrade/src/process/settings.rs
@@ -107,7 +107,7 @@
     pub wait_limit_ms: Option<String>,
 }
 
-/// All missing or malformed settings of a process.
+/// All missing or invalid settings of a process.
 #[derive(Debug)]
 pub struct SettingsError {
     faults: Vec<String>,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A message for each missing or malformed setting, which names its flag.
+    /// A message for each missing or invalid setting, which names its flag.
     #[must_use]
     pub fn faults(&self) -> &[String] {
         &self.faults
@@ -129,7 +129,7 @@
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} missing or malformed settings: ", self.faults.len())?;
+        write!(f, "{} missing or invalid settings: ", self.faults.len())?;
         f.write_str(&self.faults.join("; "))
     }
 }
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// Lists every missing or malformed setting.
+    /// Lists every missing or invalid setting.
     pub fn resolve(
         flags: VmFlags,
         env: impl Fn(&str) -> Option<String>,
@@ -205,7 +205,7 @@
     ///
     /// # Errors
     ///
-    /// Lists every missing or malformed setting.
+    /// Lists every missing or invalid setting.
     pub fn resolve(
         flags: CommandFlags,
         env: impl Fn(&str) -> Option<String>,
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -242,7 +242,7 @@
             let source = self.vms[vm].address;
             self.store_proxy.set_refuse_from(source, on);
             if on {
-                self.store_proxy.cut_open_from(source);
+                self.store_proxy.reset_open_from(source);
             }
         }
     }
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -272,7 +272,7 @@
 async fn spill_stays_within_the_cap_when_all_backend_servers_of_a_region_fail() {
     let loaded = LoadedFleet::start(Duration::from_secs(10)).await;
     loaded.fleet.proxies[1].set_refuse(true);
-    loaded.fleet.proxies[1].cut_open();
+    loaded.fleet.proxies[1].reset_open();
     let result = loaded.finish().await;
     let north = result.shares_of_offered(0);
     assert_gains_capped(&north);
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -102,7 +102,7 @@
 async fn all_objects_are_read_again_after_the_store_discards_its_history() {
     let mut cluster = TestCluster::start(&[1]).await;
     cluster.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
-    cluster.store.forget_history();
+    cluster.store.discard_history();
     eventually("the route has moved", || async {
         cluster.get("moved", "d1").await.status == 200
     })
--- a/crates/filbertgrade/tests/path/bad_responses.rs
+++ b/crates/filbertgrade/tests/path/bad_responses.rs
@@ -50,7 +50,7 @@
     let address = start_server(responses).await;
     for proxy in &fleet.proxies {
         proxy.set_forward_to(address);
-        proxy.cut_open();
+        proxy.reset_open();
     }
     tokio::time::sleep(Duration::from_millis(50)).await;
     (fleet, secret)
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -86,7 +86,7 @@
             1 => backend.cut_next_responses(2, 300),
             2 => backend.close_next_unread(2),
             3 => backend.freeze_open_connections(),
-            4 => proxy.cut_open(),
+            4 => proxy.reset_open(),
             5 => proxy.freeze_open(),
             6 => backend.set_draining(rng.random_bool(0.3)),
             7 => {
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -246,7 +246,7 @@
             };
             match (fault, value) {
                 ("refuse", _) => proxy.set_refuse(value.parse()?),
-                ("open", "cut") => proxy.cut_open(),
+                ("open", "cut") => proxy.reset_open(),
                 ("open", "freeze") => proxy.freeze_open(),
                 ("silent", "to_server") => proxy.set_fault(Direction::ToServer, silent),
                 ("silent", "to_client") => proxy.set_fault(Direction::ToClient, silent),
