--- a/crates/filbertgrade/examples/lookups.rs
+++ b/crates/filbertgrade/examples/lookups.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use filbertgrade::process::entry::lookup::answer;
+use filbertgrade::process::entry::lookup::respond;
 use filbertgrade::version::{CONFIG_ROOT, ConfigRoot, InForce};
 use filbertgrade_coord::versioned::{Entry, Snapshot, VersionedMap};
 
@@ -33,11 +33,11 @@
     for (name, encode) in [("choice of VMs", false), ("choice and JSON", true)] {
         let start = Instant::now();
         for n in 0..LOOKUPS {
-            let answer = answer(black_box(&view), black_box(client(n)), 7080, None);
+            let response = respond(black_box(&view), black_box(client(n)), 7080, None);
             if encode {
-                black_box(serde_json::to_vec(&answer).unwrap_or_default());
+                black_box(serde_json::to_vec(&response).unwrap_or_default());
             } else {
-                black_box(answer);
+                black_box(response);
             }
         }
         let rate = f64::from(LOOKUPS) / start.elapsed().as_secs_f64();
--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -47,7 +47,7 @@
 /// missed more of them receives a snapshot.
 const MAX_LOGGED_CHANGES: usize = 4096;
 
-/// Why the agent stopped.
+/// Why the agent could not start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AgentError {
--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -46,8 +46,8 @@
 #[derive(Debug)]
 pub(crate) struct Admission {
     vm: VmName,
-    /// Random number that tells apart the processes that run on this VM one
-    /// after the other.
+    /// Random number that distinguishes this process from earlier and later ones
+    /// on the same VM.
     incarnation: u64,
     links: Arc<PeerLinks>,
     /// All ledgers. The ledger of a team that was removed from the
@@ -197,9 +197,9 @@
         }
     }
 
-    /// Returns the version of the share table that is in effect in every
-    /// ledger, or `None` while any ledger still holds more than the table
-    /// assigns to it.
+    /// Returns the share table version that is in effect in every ledger, which
+    /// is the lowest of theirs. Returns `None` when there is no ledger, and while
+    /// any ledger still waits for loans to end.
     pub(crate) fn version_in_effect(&self) -> Option<u64> {
         let now = Instant::now();
         self.shares()
@@ -348,6 +348,7 @@
 /// Result of one round of a ledger: what its task has to send, and when it runs
 /// again.
 struct Round {
+    /// Loan request to send, with the turn that selects its peers.
     request: Option<(LoanRequest, usize)>,
     loan_actions: Vec<LoanAction>,
     /// Time of the next round; `None` waits until a request arrives.
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -34,7 +34,7 @@
 /// between two requests on a connection.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long after the look-up time to live the entry still accepts connections
+/// How long after the lookup time to live the entry still accepts connections
 /// that callers opened before its end.
 const FINAL_ACCEPT_TIME: Duration = Duration::from_millis(50);
 
@@ -62,8 +62,8 @@
 /// Maximum number of bytes that the entry buffers for one body.
 const STREAM_WINDOW_BYTES: u32 = 256 * 1024;
 
-/// Interval between keep-alive pings on an HTTP/2 connection, and the timeout
-/// for their replies.
+/// Time without data from the caller after which an HTTP/2 connection is probed
+/// with a keep-alive ping, and the timeout for the reply.
 const PING_INTERVAL: Duration = Duration::from_secs(10);
 
 /// First bytes that a client sends on an HTTP/2 connection.
@@ -85,7 +85,7 @@
             () = &mut stop => break,
         };
         match accepted {
-            Ok((stream, peer)) => accept(entry, stream, peer, close.clone()),
+            Ok((stream, caller_address)) => accept(entry, stream, caller_address, close.clone()),
             Err(error) => {
                 log::warn!("event=accept_failed error={}", logfmt::value(&error));
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -103,12 +103,17 @@
     listener: &TcpListener,
     close: &watch::Receiver<bool>,
 ) {
-    while let Ok((stream, peer)) = listener.accept().await {
-        accept(entry, stream, peer, close.clone());
+    while let Ok((stream, caller_address)) = listener.accept().await {
+        accept(entry, stream, caller_address, close.clone());
     }
 }
 
-fn accept(entry: &Arc<Entry>, stream: TcpStream, peer: SocketAddr, close: watch::Receiver<bool>) {
+fn accept(
+    entry: &Arc<Entry>,
+    stream: TcpStream,
+    caller_address: SocketAddr,
+    close: watch::Receiver<bool>,
+) {
     let _ = stream.set_nodelay(true);
     if entry.caller_connections.count() >= MAX_CONNECTIONS {
         tokio::spawn(refuse_connection(stream, entry.refused_callers.start()));
@@ -119,8 +124,8 @@
     tokio::spawn(async move {
         let _running = running;
         match is_http2(&stream).await {
-            Some(true) => serve_http2(entry, stream, peer, close).await,
-            Some(false) => serve_http1(entry, stream, peer, close).await,
+            Some(true) => serve_http2(entry, stream, caller_address, close).await,
+            Some(false) => serve_http1(entry, stream, caller_address, close).await,
             None => {}
         }
     });
@@ -169,10 +174,10 @@
 async fn serve_http1(
     entry: Arc<Entry>,
     stream: TcpStream,
-    peer: SocketAddr,
+    caller_address: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| handle(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| handle(Arc::clone(&entry), caller_address, req));
     let io = CallerIo::new(stream);
     let activity = io.activity();
     let mut server = pin!(
@@ -197,10 +202,10 @@
 async fn serve_http2(
     entry: Arc<Entry>,
     stream: TcpStream,
-    peer: SocketAddr,
+    caller_address: SocketAddr,
     mut close: watch::Receiver<bool>,
 ) {
-    let handler = service_fn(move |req| handle(Arc::clone(&entry), peer, req));
+    let handler = service_fn(move |req| handle(Arc::clone(&entry), caller_address, req));
     let mut server = pin!(
         http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
@@ -220,15 +225,16 @@
     let _ = server.await;
 }
 
+/// Handles one request: answers a lookup, and forwards any other request.
 async fn handle(
     entry: Arc<Entry>,
-    peer: SocketAddr,
+    caller_address: SocketAddr,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let arrived = Instant::now();
     let version = req.version();
     let mut response = if req.method() == Method::GET && req.uri().path() == "/v1/lookup" {
-        handle_lookup(&entry, peer, &req)
+        handle_lookup(&entry, caller_address, &req)
     } else {
         forward::forward(&entry, req, arrived)
             .await
@@ -244,16 +250,22 @@
     Ok(response)
 }
 
-fn handle_lookup(entry: &Entry, peer: SocketAddr, req: &Request<Incoming>) -> Response<Body> {
-    let client = client_address(req).unwrap_or(peer.ip());
+fn handle_lookup(
+    entry: &Entry,
+    caller_address: SocketAddr,
+    req: &Request<Incoming>,
+) -> Response<Body> {
+    let client = client_address(req).unwrap_or(caller_address.ip());
     let view = entry.in_force.load();
     let leaving = entry.is_leaving().then_some(&entry.settings.vm);
     json(
         StatusCode::OK,
-        &lookup::answer(&view, client, entry.settings.ports.caller, leaving),
+        &lookup::respond(&view, client, entry.settings.ports.caller, leaving),
     )
 }
 
+/// Returns the address in the parameter `client` of a lookup, or `None` when it is
+/// missing or malformed.
 fn client_address(req: &Request<Incoming>) -> Option<IpAddr> {
     let query = req.uri().query()?;
     let client = query.split('&').find_map(|p| p.strip_prefix("client="))?;
--- a/crates/filbertgrade/src/process/entry/dump.rs
+++ b/crates/filbertgrade/src/process/entry/dump.rs
@@ -16,8 +16,8 @@
     let (shares, slots) = (Arc::clone(entry), Arc::clone(entry));
     OperatorPort::new(move || readiness(&ready))
         .refresh_gauges(move || set_gauges(&gauges))
-        .dump_section("process", move || describe(&process))
-        .dump_section("in_force", move || view(&in_force))
+        .dump_section("process", move || process_state(&process))
+        .dump_section("in_force", move || in_force_state(&in_force))
         .dump_section("shares", move || ledgers(&shares))
         .dump_section("slots", move || slot_pools(&slots))
 }
@@ -43,7 +43,7 @@
     metrics::gauge!("entry_valid_seconds", "vm" => vm).set(valid_ms(entry) as f64 / 1000.0);
 }
 
-fn describe(entry: &Entry) -> Value {
+fn process_state(entry: &Entry) -> Value {
     json!({
         "role": "entry",
         "vm": entry.settings.vm.as_str(),
@@ -53,7 +53,7 @@
     })
 }
 
-fn view(entry: &Entry) -> Value {
+fn in_force_state(entry: &Entry) -> Value {
     let view = entry.view();
     let sorted = |set: Vec<String>| {
         let mut set = set;
--- a/crates/filbertgrade/src/process/entry/feed.rs
+++ b/crates/filbertgrade/src/process/entry/feed.rs
@@ -32,11 +32,11 @@
     let mut incoming = IncomingDelta::default();
     loop {
         let sent_at = Instant::now();
-        let hello = FeedRequest {
+        let request = FeedRequest {
             revision: objects.revision(),
             resume: incoming.next_page_request(),
         };
-        match link.call(Body::FeedRequest(hello), FEED_TIMEOUT).await {
+        match link.call(Body::FeedRequest(request), FEED_TIMEOUT).await {
             Ok(Body::Feed(feed)) => {
                 apply_feed(&entry, &mut objects, &mut incoming, feed, sent_at);
                 let _ = link.notify(Body::EntryReport(report(&entry))).await;
--- a/crates/filbertgrade/src/process/entry/lookup.rs
+++ b/crates/filbertgrade/src/process/entry/lookup.rs
@@ -1,4 +1,4 @@
-//! Look-ups: which VMs a caller should send its requests to.
+//! Lookups: which VMs a caller should send its requests to.
 
 use std::net::IpAddr;
 
@@ -7,13 +7,13 @@
 
 use crate::version::{InForce, VmRecord, client_hash, client_position};
 
-/// Maximum number of VMs in one answer. Callers try them in the order given.
+/// Maximum number of VMs in one response. Callers try them in the order given.
 const MAX_VMS: usize = 4;
 
-/// Answer to a look-up: VMs in the order in which the client should try them,
-/// and how long the answer may be cached.
+/// Response to a lookup: VMs in the order in which the client should try them,
+/// and how long the response may be cached.
 #[derive(Debug, Serialize)]
-pub struct LookupAnswer {
+pub struct LookupResponse {
     ttl_ms: u64,
     vms: Vec<LookupVm>,
 }
@@ -32,7 +32,12 @@
 /// are spread across VMs by their address. The VMs of other regions follow.
 /// This VM is omitted while it is `leaving`.
 #[must_use]
-pub fn answer(view: &InForce, client: IpAddr, port: u16, leaving: Option<&VmName>) -> LookupAnswer {
+pub fn respond(
+    view: &InForce,
+    client: IpAddr,
+    port: u16,
+    leaving: Option<&VmName>,
+) -> LookupResponse {
     let clients = view.client_regions.as_deref();
     let region = clients.and_then(|clients| clients.region_of(client));
     let hash = client_hash(client) as usize;
@@ -50,7 +55,7 @@
         let limit = MAX_VMS - vms.len() - usize::from(n == 0 && regions.peek().is_some());
         vms.extend(in_order.filter(|vm| Some(&vm.name) != leaving).take(limit));
     }
-    LookupAnswer {
+    LookupResponse {
         ttl_ms: view
             .config
             .as_ref()
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry process: answers look-ups and forwards requests to backend
+//! The entry process: answers lookups and forwards requests to backend
 //! servers.
 
 mod admission;
--- a/crates/filbertgrade/src/process/entry/shutdown.rs
+++ b/crates/filbertgrade/src/process/entry/shutdown.rs
@@ -28,8 +28,8 @@
 /// Longest time for recording attempts after the last request has ended.
 const BACKGROUND_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Waits for `stop` and marks the VM as leaving, then waits until the look-up
-/// answers that still contain this VM have expired.
+/// Waits for `stop` and marks the VM as leaving, then waits until the lookup
+/// responses that still contain this VM have expired.
 pub(crate) async fn leave_on(entry: &Entry, stop: impl Future<Output = ()>) {
     stop.await;
     entry.leaving.store(true, Ordering::Release);
@@ -42,8 +42,8 @@
     tokio::time::sleep(ttl).await;
 }
 
-/// Closes idle connections of callers, waits for running requests, and returns
-/// the VM's loans and units.
+/// Closes idle connections of callers, waits for running requests, returns the
+/// VM's loans, and waits until its units have been moved to other VMs.
 pub(crate) async fn stop_gracefully(entry: &Entry, close: &watch::Sender<bool>) {
     close.send_replace(true);
     let requests = tokio::time::timeout(
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -60,7 +60,7 @@
     links: Arc<PeerLinks>,
     pools: Mutex<HashMap<PoolId, OwnedPool>>,
     fallback: Fallback,
-    spills: SpillLimits,
+    spill_limits: SpillLimits,
 }
 
 /// Identifies a slot pool.
@@ -135,7 +135,7 @@
             links,
             pools: Mutex::default(),
             fallback: Fallback::default(),
-            spills: SpillLimits::default(),
+            spill_limits: SpillLimits::default(),
         });
         tokio::spawn(expire_periodically(Arc::downgrade(&shared)));
         Self { shared }
@@ -162,7 +162,7 @@
         let Some(first_region) = candidate_regions.first() else {
             return Err(Refusal::not_run(Cause::NoEndpoint));
         };
-        let mut spill = self.shared.spills.start(view, criteria);
+        let mut spill = self.shared.spill_limits.start(view, criteria);
         let mut busy = false;
         for ejected in [EjectedEndpoints::Exclude, EjectedEndpoints::Include] {
             for (region, wait) in candidate_regions.iter().zip(self.queue_waits(view)) {
--- a/crates/filbertgrade/src/process/entry/spill.rs
+++ b/crates/filbertgrade/src/process/entry/spill.rs
@@ -17,17 +17,18 @@
     limits: Mutex<HashMap<ServiceName, SpillLimit>>,
 }
 
-/// A request that is looking for a slot.
+/// Tracks whether a request that is looking for a slot counts as a spill.
 ///
-/// Dropping it undoes its count as a spill, unless it has run in another
-/// region.
+/// Dropping it undoes the count, unless the request got a slot in another region.
 #[derive(Debug)]
 pub(super) struct SpillAttempt<'a> {
-    spills: &'a SpillLimits,
+    limits: &'a SpillLimits,
     service: ServiceName,
     /// `None` until a configuration is in force.
     cfg: Option<SpillConfig>,
-    spilled: bool,
+    /// Set while the limit counts this request as a spill and the count is to be
+    /// undone on drop.
+    reserved: bool,
 }
 
 impl SpillLimits {
@@ -38,10 +39,10 @@
             SpillConfig::new(config.shift_cap, config.lookup_ttl + config.shift_settle)
         });
         let spill = SpillAttempt {
-            spills: self,
+            limits: self,
             service: criteria.service.clone(),
             cfg,
-            spilled: false,
+            reserved: false,
         };
         if criteria.avoid.is_empty() {
             spill.with_limit(|limit, cfg| limit.record_request(cfg, Instant::now()));
@@ -49,7 +50,7 @@
         spill
     }
 
-    fn limits(&self) -> MutexGuard<'_, HashMap<ServiceName, SpillLimit>> {
+    fn by_service(&self) -> MutexGuard<'_, HashMap<ServiceName, SpillLimit>> {
         lock(&self.limits)
     }
 }
@@ -58,14 +59,14 @@
     /// Returns whether the request may use another region than the chosen one,
     /// and counts it as a spill if so.
     pub(super) fn may_spill(&mut self) -> bool {
-        if !self.spilled {
+        if !self.reserved {
             let allowed = self.with_limit(|limit, cfg| limit.try_spill(cfg, Instant::now()));
-            self.spilled = allowed.unwrap_or(false);
-            if !self.spilled {
+            self.reserved = allowed.unwrap_or(false);
+            if !self.reserved {
                 metrics::counter!("spill_refused_total").increment(1);
             }
         }
-        self.spilled
+        self.reserved
     }
 
     /// Records that the request got a slot, in the chosen region or in another
@@ -73,13 +74,13 @@
     pub(super) fn record_placement(&mut self, in_chosen_region: bool) {
         if !in_chosen_region {
             metrics::counter!("spill_total").increment(1);
-            self.spilled = false;
+            self.reserved = false;
         }
     }
 
     fn with_limit<R>(&self, f: impl FnOnce(&mut SpillLimit, &SpillConfig) -> R) -> Option<R> {
         let cfg = self.cfg.as_ref()?;
-        let mut limits = self.spills.limits();
+        let mut limits = self.limits.by_service();
         let limit = limits
             .entry(self.service.clone())
             .or_insert_with(|| SpillLimit::new(cfg, Instant::now()));
@@ -89,7 +90,7 @@
 
 impl Drop for SpillAttempt<'_> {
     fn drop(&mut self) {
-        if self.spilled {
+        if self.reserved {
             self.with_limit(SpillLimit::cancel_spill);
         }
     }
--- a/crates/filbertgrade/src/version/config/read.rs
+++ b/crates/filbertgrade/src/version/config/read.rs
@@ -23,8 +23,8 @@
 /// drains and shifts of traffic.
 const ACCEPTED_TTL_MS: RangeInclusive<i64> = 100..=600_000;
 
-/// Accepted settle time after a step of the region weights. It is not zero,
-/// since a step needs some time to reach every VM.
+/// Accepted settle time after a step of the region weights. The lower end is not
+/// zero, because a step needs some time to reach every VM.
 const ACCEPTED_SETTLE_MS: RangeInclusive<i64> = 100..=600_000;
 
 /// Accepted number of slots or connections. The upper end is far above what any
--- a/crates/filbertgrade/src/version/delta.rs
+++ b/crates/filbertgrade/src/version/delta.rs
@@ -75,8 +75,8 @@
     /// `None` if it is up to date.
     ///
     /// `resume` identifies the next page of a delta that the receiver has partly
-    /// received.
-    /// If that delta is no longer retained, a new one starts at its first page.
+    /// received. If that delta is no longer retained, a new one starts at its
+    /// first page.
     pub(crate) fn next_page(
         &mut self,
         objects: &VersionedMap<Bytes>,
--- a/crates/filbertgrade/tests/agents/scenario.rs
+++ b/crates/filbertgrade/tests/agents/scenario.rs
@@ -30,8 +30,8 @@
 //! - `in_force WORD within=MS [vm=n]`: waits up to `within` until every VM, or VM
 //!   n, serves it, and prints whether they do.
 //! - `follow WORD`: sends requests for it to every VM until the scenario ends.
-//! - `reverts WORD`: prints the number of VMs that did not know the service after
-//!   they had served it.
+//! - `reverts WORD`: prints the number of VMs that responded with 404 (unknown
+//!   service) after they had served it.
 //! - `race WORD WORD`: applies two configurations at once and prints how many were
 //!   accepted.
 //!
@@ -51,7 +51,7 @@
 //!   lease. `CONT` and `RESTART` apply to the agent that was signalled last.
 //!
 //! Other:
-//! - `lookup n names=m`: prints whether the look-up response of VM n names VM m.
+//! - `lookup n names=m`: prints whether the lookup response of VM n names VM m.
 //! - `count`: stores the number of calls to the store. `calls under=N`: prints
 //!   whether fewer than N calls arrived since then.
 //! - `sleep MS`: waits, and records the share table and the lease meanwhile.
@@ -80,7 +80,7 @@
 
 #[rstest]
 fn scenario(#[files("tests/agents/scenarios/*")] path: PathBuf) {
-    let mut world = World {
+    let mut runner = ScenarioRunner {
         runtime: Runtime::new().unwrap(),
         name: path.file_name().unwrap().to_string_lossy().into_owned(),
         fleet: None,
@@ -90,11 +90,11 @@
         allocation: AllocationHistory::default(),
         paused: None,
     };
-    goldenscript::run(&mut world, path).unwrap();
+    goldenscript::run(&mut runner, path).unwrap();
 }
 
 /// State of a running scenario.
-struct World {
+struct ScenarioRunner {
     runtime: Runtime,
     /// Name of the scenario file.
     name: String,
@@ -122,7 +122,7 @@
     command: Option<JoinHandle<Option<i32>>>,
 }
 
-impl Drop for World {
+impl Drop for ScenarioRunner {
     fn drop(&mut self) {
         let _inside = self.runtime.enter();
         self.keys.clear();
@@ -131,7 +131,7 @@
     }
 }
 
-impl Runner for World {
+impl Runner for ScenarioRunner {
     type Command = Command;
 
     fn run(&mut self, command: &Command, _: &Context) -> Result<String, Failure> {
@@ -368,7 +368,7 @@
                     if second == "gone" {
                         fleet.platform.delete_vm(&vm.name);
                     } else {
-                        let mut listed = vm.platform_entry.clone();
+                        let mut listed = vm.platform_record.clone();
                         listed.state.clone_from(&second);
                         fleet.platform.put_vm(&listed);
                     }
@@ -428,7 +428,7 @@
     }
 }
 
-impl World {
+impl ScenarioRunner {
     fn fleet(&self) -> &Fleet {
         self.fleet
             .as_ref()
@@ -454,13 +454,13 @@
         }
     }
 
-    /// Waits up to `within` until every VM, or only VM `only`, serves the version
-    /// `word`. Returns the first VM that does not.
-    fn not_in_force(&self, word: &str, only: Option<usize>, within: Duration) -> Option<String> {
+    /// Waits up to `within` until every VM, or only VM `only`, serves requests for
+    /// `service`. Returns the first VM that does not.
+    fn not_in_force(&self, service: &str, only: Option<usize>, within: Duration) -> Option<String> {
         let start = Instant::now();
         for (n, vm) in self.fleet().vms.iter().enumerate() {
             let probe = || async {
-                let response = send(vm.caller_address(), request(word, None, "probe")).await;
+                let response = send(vm.caller_address(), request(service, None, "probe")).await;
                 response.is_ok_and(|response| response.status() == 200)
             };
             while only.is_none_or(|only| only == n + 1) && !self.runtime.block_on(probe()) {
@@ -475,18 +475,18 @@
 
     /// Applies two versions at once. Returns how many were accepted, if an
     /// accepted version comes into force on every VM and stays in force.
-    fn race(&self, words: &[String; 2]) -> Result<String, Failure> {
+    fn race(&self, services: &[String; 2]) -> Result<String, Failure> {
         let fleet = self.fleet();
-        let (a, b) = self
-            .runtime
-            .block_on(async { tokio::join!(apply(fleet, &words[0]), apply(fleet, &words[1])) });
+        let (a, b) = self.runtime.block_on(async {
+            tokio::join!(apply(fleet, &services[0]), apply(fleet, &services[1]))
+        });
         let codes = [a?, b?];
         let accepted = |code: &Option<i32>| *code == Some(0) || *code == Some(8);
-        let Some(winner) = codes.iter().position(accepted) else {
+        let Some(first_accepted) = codes.iter().position(accepted) else {
             return Ok(format!("none accepted: {codes:?}"));
         };
         for within in [Duration::from_secs(8), Duration::ZERO] {
-            if let Some(vm) = self.not_in_force(&words[winner], None, within) {
+            if let Some(vm) = self.not_in_force(&services[first_accepted], None, within) {
                 return Ok(format!("not in force on {vm}"));
             }
             std::thread::sleep(Duration::from_secs(2));
@@ -546,7 +546,7 @@
     }
 }
 
-/// Takes the argument `key` and parses it; `None` when it is absent.
+/// Removes the argument `key` from the list and parses it; `None` when it is absent.
 fn value<T: FromStr>(args: &mut ArgumentConsumer<'_>, key: &str) -> Result<Option<T>, Failure>
 where
     T::Err: Error + 'static,
@@ -554,16 +554,16 @@
     Ok(args.take_key(key).map(str::parse).transpose()?)
 }
 
-/// Takes the argument `key` as a time in milliseconds.
+/// Removes the argument `key` from the list and parses it as a time in milliseconds.
 fn millis(args: &mut ArgumentConsumer<'_>, key: &str) -> Result<Option<Duration>, Failure> {
     Ok(value(args, key)?.map(Duration::from_millis))
 }
 
-/// Applies the fleet's configuration with an open service `word`. Returns the
+/// Applies the fleet's configuration with an open service named `service`. Returns the
 /// exit code of the command, which is `None` when a signal ended it.
-async fn apply(fleet: &Fleet, word: &str) -> Result<Option<i32>, Failure> {
+async fn apply(fleet: &Fleet, service: &str) -> Result<Option<i32>, Failure> {
     let file = tempfile::NamedTempFile::new()?;
-    std::fs::write(file.path(), fleet.config().replace("size-list", word))?;
+    std::fs::write(file.path(), fleet.config().replace("size-list", service))?;
     let store = fleet.platform.addr().to_string();
     let path = file.path().to_str().ok_or("the path is not UTF-8")?;
     let args = ["apply", path, "--store", &store, "--wait-limit-ms", "0"];
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -115,8 +115,8 @@
     /// Proxies in front of the VM's ports, in the order of `VM_PORTS`; empty if
     /// the fleet is not proxied.
     pub(crate) proxies: Vec<FaultProxy>,
-    /// The VM's entry in the platform's list.
-    pub(crate) platform_entry: VmEntry,
+    /// Record of the VM that the platform's list holds while the VM is live.
+    pub(crate) platform_record: VmEntry,
     /// Store address that its processes are started with.
     store: SocketAddr,
 }
@@ -174,16 +174,16 @@
 
     /// Adds VM `n` to the platform's list and starts its processes.
     pub(crate) fn add_vm(&mut self, n: u8) {
-        let platform_entry = self.platform_entry(n);
-        self.platform.put_vm(&platform_entry);
+        let platform_record = self.platform_record(n);
+        self.platform.put_vm(&platform_record);
         let store = self.platform.addr();
-        self.launch(n, platform_entry, store, Vec::new());
+        self.launch(n, platform_record, store, Vec::new());
     }
 
     /// Adds VM `n` to the platform's list and starts its processes, with a proxy
     /// in front of each port.
     pub(crate) async fn add_proxied_vm(&mut self, n: u8) {
-        let platform_entry = self.platform_entry(n);
+        let platform_record = self.platform_record(n);
         let mut proxies = Vec::new();
         for port in VM_PORTS {
             let (at, to) = (
@@ -192,9 +192,9 @@
             );
             proxies.push(FaultProxy::bind(at, to).await.unwrap());
         }
-        self.platform.put_vm(&platform_entry);
+        self.platform.put_vm(&platform_record);
         let store = self.store_proxy.addr();
-        self.launch(n, platform_entry, store, proxies);
+        self.launch(n, platform_record, store, proxies);
     }
 
     /// Returns the address of the callers' port of VM `n`, even before it is
@@ -203,7 +203,7 @@
         address(self.octet, 1, n, 7080)
     }
 
-    fn platform_entry(&self, n: u8) -> VmEntry {
+    fn platform_record(&self, n: u8) -> VmEntry {
         let north = self.regions == RegionLayout::NorthOnly || n % 2 == 1;
         let region = if north { "north" } else { "south" };
         let third = if self.proxied { 2 } else { 1 };
@@ -219,18 +219,18 @@
     fn launch(
         &mut self,
         n: u8,
-        platform_entry: VmEntry,
+        platform_record: VmEntry,
         store: SocketAddr,
         proxies: Vec<FaultProxy>,
     ) {
         let address = address(self.octet, 1, n, 0).ip();
         self.vms.push(Vm {
-            name: platform_entry.name.clone(),
+            name: platform_record.name.clone(),
             address,
-            agent: spawn("agent", address, store, &platform_entry),
-            entry: spawn("entry", address, store, &platform_entry),
+            agent: spawn("agent", address, store, &platform_record),
+            entry: spawn("entry", address, store, &platform_record),
             proxies,
-            platform_entry,
+            platform_record,
             store,
         });
     }
@@ -345,13 +345,13 @@
     /// Kills the agent and starts a new one.
     pub(crate) fn restart_agent(&mut self) {
         kill_and_reap(&mut self.agent);
-        self.agent = spawn("agent", self.address, self.store, &self.platform_entry);
+        self.agent = spawn("agent", self.address, self.store, &self.platform_record);
     }
 
     /// Kills the entry and starts a new one.
     pub(crate) fn restart_entry(&mut self) {
         kill_and_reap(&mut self.entry);
-        self.entry = spawn("entry", self.address, self.store, &self.platform_entry);
+        self.entry = spawn("entry", self.address, self.store, &self.platform_record);
     }
 
     /// Returns the address of the callers' port.
@@ -373,17 +373,17 @@
     let _ = child.wait();
 }
 
-fn spawn(role: &str, address: IpAddr, store: SocketAddr, platform_entry: &VmEntry) -> Child {
+fn spawn(role: &str, address: IpAddr, store: SocketAddr, platform_record: &VmEntry) -> Child {
     Command::new(BINARY)
         .arg(role)
         .args([
             "--vm",
-            &platform_entry.name,
+            &platform_record.name,
             "--address",
             &address.to_string(),
         ])
-        .args(["--region", &platform_entry.region])
-        .args(["--failure-domain", &platform_entry.failure_domain])
+        .args(["--region", &platform_record.region])
+        .args(["--failure-domain", &platform_record.failure_domain])
         .args(["--store", &store.to_string()])
         .env("RUST_LOG", "error")
         .stdin(Stdio::null())
--- a/crates/filbertgrade/tests/it/leaving.rs
+++ b/crates/filbertgrade/tests/it/leaving.rs
@@ -67,7 +67,7 @@
     fleet
         .wait_until(Duration::from_secs(8), |vm| serves(vm, &secret))
         .await;
-    let mut leaving = fleet.vms[2].platform_entry.clone();
+    let mut leaving = fleet.vms[2].platform_record.clone();
     leaving.state = "leaving".to_owned();
     fleet.platform.put_vm(&leaving);
 
--- a/crates/filbertgrade/tests/moves/lookups.rs
+++ b/crates/filbertgrade/tests/moves/lookups.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use filbertgrade::process::entry::lookup::answer;
+use filbertgrade::process::entry::lookup::respond;
 use filbertgrade::version::InForce;
 use filbertgrade_coord::names::VmName;
 use rstest::rstest;
@@ -19,7 +19,7 @@
 fn names(view: &InForce, client: &str, leaving: Option<&str>) -> Vec<String> {
     let client: IpAddr = client.parse().unwrap();
     let leaving = leaving.map(|vm| VmName::try_from(vm).unwrap());
-    let response = serde_json::to_value(answer(view, client, 7080, leaving.as_ref())).unwrap();
+    let response = serde_json::to_value(respond(view, client, 7080, leaving.as_ref())).unwrap();
     let vms = response["vms"].as_array().unwrap().iter();
     vms.map(|vm| vm["vm"].as_str().unwrap().to_owned())
         .collect()
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -284,8 +284,8 @@
     assert_eq!(result.report.lost, 0);
 }
 
-/// Guards against callers whose region has lost its VMs: their requests must not
-/// all run in the region that they are directed to, beyond its weight.
+/// Guards against requests that all run in the region that callers are directed to
+/// after their own region has lost its VMs, beyond the weight of that region.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_follow_the_weights_when_all_vms_of_a_region_fail() {
     let mut loaded = LoadedFleet::start(Duration::from_secs(10)).await;
@@ -294,7 +294,7 @@
     let vms = std::mem::take(&mut loaded.fleet.vms);
     let (south, north): (Vec<_>, Vec<_>) = vms
         .into_iter()
-        .partition(|vm| vm.platform_entry.region == "south");
+        .partition(|vm| vm.platform_record.region == "south");
     loaded.fleet.vms = north;
     for vm in south {
         loaded.fleet.platform.delete_vm(&vm.name);
--- a/crates/filbertgrade/tests/operators/operator.rs
+++ b/crates/filbertgrade/tests/operators/operator.rs
@@ -114,7 +114,7 @@
     assert_eq!(entry["in_force"]["keys"], 1);
     assert_eq!(entry["process"]["vm"], "vm-1");
     let mut agent: serde_json::Value = serde_json::from_str(&agent).unwrap();
-    // The summary of the other region arrives with the first pull from its VM.
+    // Evidence of the other region arrives with the first pull from its VM.
     let start = Instant::now();
     while agent["regions"].as_array().unwrap().len() < 2 {
         assert!(start.elapsed() < Duration::from_secs(5), "{agent}");
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -49,7 +49,7 @@
         .status()
         .unwrap();
 
-    // Callers may connect until their look-up answers expire, which takes 1 s.
+    // Callers may connect until their lookup responses expire, which takes 1 s.
     tokio::time::sleep(Duration::from_millis(800)).await;
     lookup_expired.store(true, Ordering::Relaxed);
 
--- a/crates/filbertgrade/tests/path/main.rs
+++ b/crates/filbertgrade/tests/path/main.rs
@@ -7,7 +7,7 @@
 )]
 
 #[path = "../it/fleet.rs"]
-#[expect(dead_code, reason = "the harness serves more than these tests")]
+#[expect(dead_code, reason = "other test targets use the rest of the harness")]
 mod fleet;
 
 mod bad_input;
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -18,8 +18,8 @@
 /// How long faults are injected.
 const FAULT_DURATION: Duration = Duration::from_secs(4);
 
-/// How often a caller sends a request with the same idempotency key until it is
-/// served.
+/// Maximum number of times that a caller sends a request with the same
+/// idempotency key before it gives up.
 const MAX_KEYED_SENDS: usize = 4;
 
 /// Number of callers. Each sends one request after the other.
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -21,7 +21,7 @@
 //! - `signal n [name=INT]`: sends a signal to an entry process, SIGTERM by
 //!   default.
 //! - `exit n`: waits for an entry process to exit and prints its exit status.
-//! - `names n vm=m`: prints whether a look-up at VM `n` returns VM `m`.
+//! - `names n vm=m`: prints whether the lookup response of VM `n` names VM `m`.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -161,7 +161,7 @@
                 String::new()
             }
             "exit" => self.exit(first().parse()?)?,
-            "names" => self.lookup_names(command)?,
+            "names" => self.lookup_response_names(command)?,
             name => return Err(format!("unknown command {name}").into()),
         })
     }
@@ -236,7 +236,7 @@
         let proxy = &self.fleet.proxies[n - 1];
         while let Some((fault, value)) = args.next_key() {
             let truncate_after = Some(value.parse().unwrap_or(0));
-            let silent = Fault {
+            let stalled = Fault {
                 stalled: true,
                 ..Fault::default()
             };
@@ -248,8 +248,8 @@
                 ("refuse", _) => proxy.set_refuse(value.parse()?),
                 ("open", "cut") => proxy.cut_open(),
                 ("open", "freeze") => proxy.freeze_open(),
-                ("silent", "to_server") => proxy.set_fault(Direction::ToServer, silent),
-                ("silent", "to_client") => proxy.set_fault(Direction::ToClient, silent),
+                ("silent", "to_server") => proxy.set_fault(Direction::ToServer, stalled),
+                ("silent", "to_client") => proxy.set_fault(Direction::ToClient, stalled),
                 ("truncate_to_client", _) => proxy.set_fault(Direction::ToClient, truncate),
                 ("truncate_to_server", _) => proxy.set_fault(Direction::ToServer, truncate),
                 ("faults", "clear") => proxy.clear_faults(),
@@ -326,7 +326,7 @@
         Ok("still running".to_owned())
     }
 
-    fn lookup_names(&self, command: &Command) -> Result<String, Box<dyn Error>> {
+    fn lookup_response_names(&self, command: &Command) -> Result<String, Box<dyn Error>> {
         let mut args = command.consume_args();
         let n: usize = args.next_pos().ok_or("no VM")?.parse()?;
         let vm_name = format!("vm-{}", args.take_key("vm").ok_or("no named VM")?);
--- a/crates/filbertgrade/tests/shares/rate.rs
+++ b/crates/filbertgrade/tests/shares/rate.rs
@@ -99,7 +99,7 @@
         }
         let leaving_since = std::time::Instant::now();
         let vm = &setup.fleet.vms[usize::from(old)];
-        let mut leaving = vm.platform_entry.clone();
+        let mut leaving = vm.platform_record.clone();
         leaving.state = "leaving".to_owned();
         setup.fleet.platform.put_vm(&leaving);
         Vm::signal(&[&vm.entry], "TERM");
--- a/crates/filbertgrade/tests/shares/setup.rs
+++ b/crates/filbertgrade/tests/shares/setup.rs
@@ -20,7 +20,7 @@
 /// Longest time from the admission of a request to its arrival at a backend
 /// server. The entry counts `x-deadline-ms` from when it receives the request,
 /// takes the token after that, and starts no attempt later than
-/// `MIN_DEADLINE` before the deadline (`take_slot` and `request_for` in
+/// `MIN_DEADLINE` before the deadline (`acquire_slot` and `build_request` in
 /// `entry/forward.rs`). Admissions are therefore observed late by less than the
 /// deadline, and never early.
 const JITTER: Duration = DEADLINE;
@@ -144,11 +144,11 @@
     pub(crate) fn check(&self, report: &LoadReport, allowed_refusals: f64) {
         let backends = &self.fleet.backends;
         let records: Vec<_> = backends.iter().map(BackendServer::records).collect();
-        let joined = report.compare_with_backends(&records, JITTER);
+        let comparison = report.compare_with_backends(&records, JITTER);
         let (over_rate, within_rate) = (&report.teams["atelier"], &report.teams["outfitter"]);
         println!(
             "team within its rate: allowed refusals {allowed_refusals:.0}, within rate {}, refused {:?}, lost {}, served {} of {}; \
-             team over its rate: served {} of {}, refused {:?}, within rate {}; {joined:?}",
+             team over its rate: served {} of {}, refused {:?}, within rate {}; {comparison:?}",
             within_rate.refused_within_rate,
             within_rate.refused,
             within_rate.lost,
@@ -159,11 +159,11 @@
             over_rate.refused,
             over_rate.refused_within_rate,
         );
-        assert_eq!(joined.over_rate, 0, "{joined:?}");
-        assert_eq!(joined.wrong_team, 0, "{joined:?}");
-        assert_eq!(joined.ran_after_not_run, 0, "{joined:?}");
-        assert_eq!(joined.repeated, 0, "{joined:?}");
-        assert_eq!(joined.key_seen_by_backend, 0, "{joined:?}");
+        assert_eq!(comparison.over_rate, 0, "{comparison:?}");
+        assert_eq!(comparison.wrong_team, 0, "{comparison:?}");
+        assert_eq!(comparison.ran_after_not_run, 0, "{comparison:?}");
+        assert_eq!(comparison.repeated, 0, "{comparison:?}");
+        assert_eq!(comparison.key_seen_by_backend, 0, "{comparison:?}");
         assert!(within_rate.served > 0 && over_rate.served > 0);
         assert!(
             within_rate.refused_within_rate as f64 <= allowed_refusals,
