--- a/crates/filbertgrade/src/process/entry/forward.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -132,11 +132,11 @@
         _ => None,
     };
     let response = send_with_retries(entry, &call, claim.as_mut()).await;
-    let end = response
+    let result = response
         .as_ref()
-        .map(|a| a.status().as_u16())
-        .map_err(|r| *r);
-    record_outcome(claim, end).await;
+        .map(|response| response.status().as_u16())
+        .map_err(|refusal| *refusal);
+    record_result(claim, result).await;
     response
 }
 
@@ -209,9 +209,9 @@
 /// Records how the request ended. After a "not run" refusal, the idempotency
 /// key is released before the caller receives the refusal, provided that the
 /// store responds soon enough.
-async fn record_outcome(claim: Option<Claim>, end: Result<u16, Refusal>) {
+async fn record_result(claim: Option<Claim>, result: Result<u16, Refusal>) {
     let Some(claim) = claim else { return };
-    match end {
+    match result {
         Ok(status) => claim.done(status),
         Err(refusal) if refusal.is_not_run() => claim.release().await,
         Err(_) => {}
--- a/crates/filbertgrade/src/version/in_force.rs
+++ b/crates/filbertgrade/src/version/in_force.rs
@@ -216,7 +216,7 @@
         vm.is_live()
             && !self.drained_vms.contains(vm.name.as_str())
             && !(self.drained_regions.contains(vm.region.as_str())
-                && self.region_splits.has_lookups_drained(&vm.region))
+                && self.region_splits.is_without_lookups(&vm.region))
     }
 
     /// All endpoints of a service in a region, drained ones included.
--- a/crates/filbertgrade/src/version/region_splits.rs
+++ b/crates/filbertgrade/src/version/region_splits.rs
@@ -27,8 +27,9 @@
     requests: HashMap<ServiceName, HashMap<RegionName, Split>>,
     /// Weights of each service in effect.
     weights: BTreeMap<ServiceName, Weights>,
-    /// Drained regions whose lookup weight has reached zero.
-    lookups_drained: HashSet<RegionName>,
+    /// Drained regions whose lookup weight has reached zero, so that lookup
+    /// responses no longer name their VMs.
+    regions_without_lookups: HashSet<RegionName>,
 }
 
 /// The state that the splits are computed from.
@@ -65,12 +66,12 @@
             .cloned()
             .collect();
         let mut vms: IndexMap<RegionName, Vec<Arc<VmRecord>>> = IndexMap::new();
-        let lookups_drained: HashSet<RegionName> = drained_regions
+        let regions_without_lookups: HashSet<RegionName> = drained_regions
             .iter()
             .filter(|region| input.lookups.get(region) == 0)
             .cloned()
             .collect();
-        for region in regions().filter(|region| !lookups_drained.contains(*region)) {
+        for region in regions().filter(|region| !regions_without_lookups.contains(*region)) {
             let of_region = input.vms.iter().filter(|vm| vm.region == *region);
             let of_region: Vec<_> = of_region.map(|vm| Arc::new((*vm).clone())).collect();
             if !of_region.is_empty() {
@@ -120,7 +121,7 @@
             unknown_clients: Split::by_weights(&arrivals_by_lookup),
             requests,
             weights: input.services,
-            lookups_drained,
+            regions_without_lookups,
         }
     }
 
@@ -175,10 +176,10 @@
         !self.drained_regions.contains(region) && self.weight(service, region) > 0
     }
 
-    /// Returns whether the region is drained and its lookup weight has reached
-    /// zero.
-    pub(crate) fn has_lookups_drained(&self, region: &RegionName) -> bool {
-        self.lookups_drained.contains(region)
+    /// Returns whether lookup responses no longer name the VMs of the region: it is
+    /// drained, and its lookup weight has reached zero.
+    pub(crate) fn is_without_lookups(&self, region: &RegionName) -> bool {
+        self.regions_without_lookups.contains(region)
     }
 
     /// Weight of a region for a service, in units; zero for an unknown service.
--- a/crates/filbertgrade/tests/it/fleet.rs
+++ b/crates/filbertgrade/tests/it/fleet.rs
@@ -441,6 +441,10 @@
     panic!("all addresses for fleets are in use");
 }
 
+/// Returns an address of the fleet with the second octet `octet`. The third octet
+/// is 1 for VMs, 2 for the proxies in front of them, 8 for the platform and its
+/// proxy, 9 for the proxies in front of backend servers, and 10 for the backend
+/// servers.
 fn address(octet: u8, third: u8, fourth: u8, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, octet, third, fourth)), port)
 }
