--- a/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
@@ -65,7 +65,7 @@
     pub(super) decayed_at: Instant,
     pub(super) ejection: Option<Ejection>,
     /// Another endpoint has responded at its address.
-    pub(super) mismatched: bool,
+    pub(super) misdirected: bool,
     pub(super) cold_until: Option<Instant>,
     /// Limits the requests of this VM while the endpoint is cold. `None` then
     /// means that this VM must not send to it.
@@ -97,7 +97,7 @@
             slowness: 1.0,
             decayed_at: now,
             ejection: None,
-            mismatched: false,
+            misdirected: false,
             cold_until: None,
             cold_limit: None,
         }
@@ -182,7 +182,7 @@
                     .min(f64::from(self.endpoint.slots) * DEFAULT_CAPACITY_PER_SLOT);
             }
             Outcome::Refused => self.record_refusal(now),
-            Outcome::Mismatched => self.mismatched = true,
+            Outcome::Misdirected => self.misdirected = true,
             Outcome::Unreachable => return Some(self.eject(now)),
             Outcome::ConnectionLost => {
                 self.record_failure(true, now);
--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -138,7 +138,7 @@
             };
             let mut state = match old.remove(&endpoint.key) {
                 Some(mut state) => {
-                    state.mismatched &= state.endpoint.address == endpoint.address;
+                    state.misdirected &= state.endpoint.address == endpoint.address;
                     state.endpoint = endpoint.clone();
                     state
                 }
--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -194,7 +194,7 @@
     /// of its load and of whether it can be reached.
     fn is_eligible(&self, state: &EndpointState, request: &PickRequest<'_>) -> bool {
         !state.endpoint.draining
-            && !state.mismatched
+            && !state.misdirected
             && !self.evacuated.contains(&state.endpoint.failure_domain)
             && request.allows(&state.region)
             && !request.tried.contains(&state.endpoint.key)
--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -99,7 +99,7 @@
     /// The endpoint reported that it did not run the request.
     Refused,
     /// The address now belongs to another endpoint.
-    Mismatched,
+    Misdirected,
     /// No connection could be established.
     Unreachable,
     /// The connection failed after the request was sent.
--- a/crates/filbertgrade-coord/tests/steering/balancer.rs
+++ b/crates/filbertgrade-coord/tests/steering/balancer.rs
@@ -141,7 +141,7 @@
 #[case::draining("draining")]
 #[case::evacuated("evacuated")]
 #[case::other_region("other region")]
-#[case::mismatched("mismatched")]
+#[case::misdirected("misdirected")]
 #[case::tried("tried")]
 fn ineligible_endpoint_receives_no_requests(#[case] reason: &str) {
     let now = Instant::now();
@@ -158,10 +158,10 @@
     match reason {
         "other region" => req.allowed_regions = [&south, &[]],
         "tried" => req.tried = &tried,
-        "mismatched" => {
+        "misdirected" => {
             let target = send(&mut balancer, 1, now);
             assert_eq!(target.key, list[0].key);
-            balancer.finish(&target, 1, Outcome::Mismatched, None, now);
+            balancer.finish(&target, 1, Outcome::Misdirected, None, now);
         }
         _ => {}
     }
--- a/crates/filbertgrade/src/connection/frame.rs
+++ b/crates/filbertgrade/src/connection/frame.rs
@@ -10,8 +10,8 @@
 
 /// Largest frame, in bytes without the length prefix.
 ///
-/// An object in the platform's store has at most 1 MB, so one chunk always
-/// fits. A larger limit would let a faulty peer claim more memory on each link.
+/// An object in the platform's store has at most 1 MB, so it always fits into
+/// one frame. A larger limit would let a faulty peer claim more memory on each link.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
 const LENGTH_PREFIX_BYTES: usize = 4;
--- a/crates/filbertgrade/src/process/entry/forward.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -365,7 +365,7 @@
                 bytes_sent: connection.close().await,
                 body_sent: &body_sent,
             };
-            let failure = call.upload.fault().map_or(failure, upload_failure);
+            let failure = call.upload.error().map_or(failure, upload_failure);
             let state = attempt.observe(&sent).state();
             return Err(FailedAttempt { failure, state });
         }
@@ -486,7 +486,7 @@
 fn upload_failure(error: UploadError) -> Failure {
     match error {
         UploadError::Slow => Failure::CallerSlow,
-        UploadError::Cut | UploadError::Superseded => Failure::CallerGone,
+        UploadError::Truncated | UploadError::Superseded => Failure::CallerGone,
     }
 }
 
--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -234,7 +234,7 @@
         }
         ResponseKind::Misdirected => {
             let failure = Failure::Misdirected;
-            refused(&mut attempt, call, failure, Outcome::Mismatched, None)
+            refused(&mut attempt, call, failure, Outcome::Misdirected, None)
         }
         ResponseKind::Run => {
             let failed = attempt.end_with_response(head, &parts, call);
@@ -350,7 +350,7 @@
         Failure::MalformedResponse => "malformed_answer",
         Failure::CallerSlow => "caller_slow",
         Failure::CallerGone => "caller_gone",
-        Failure::ResponseCut => "answer_cut",
+        Failure::ResponseTruncated => "answer_cut",
     }
 }
 
@@ -382,7 +382,7 @@
     .await
     {
         Ok(Ok(body)) => Ok((parts, body)),
-        Ok(Err(_)) => Err(Failure::ResponseCut),
+        Ok(Err(_)) => Err(Failure::ResponseTruncated),
         Err(_) => Err(Failure::DeadlinePassed),
     }
 }
--- a/crates/filbertgrade/src/process/node/copy.rs
+++ b/crates/filbertgrade/src/process/node/copy.rs
@@ -160,7 +160,7 @@
     /// Returns the changes after `revision`, or a snapshot when `revision` is
     /// `None` or the changes since then are no longer kept. `None` until the
     /// kind has been read.
-    pub(super) fn since(&self, revision: Option<u64>) -> Option<Update> {
+    pub(super) fn update_since(&self, revision: Option<u64>) -> Option<Update> {
         let known = self.revision?;
         let after = revision.filter(|after| *after >= self.complete_after);
         let events = match after {
--- a/crates/filbertgrade/src/process/node/dump.rs
+++ b/crates/filbertgrade/src/process/node/dump.rs
@@ -12,7 +12,7 @@
 
 /// Builds the operator port of a node.
 pub(super) fn operator_port(node: &Arc<Node>) -> OperatorPort {
-    let part = |dump: fn(&Node) -> Value| {
+    let section = |dump: fn(&Node) -> Value| {
         let node = Arc::clone(node);
         move || dump(&node)
     };
@@ -25,9 +25,9 @@
             Err("no current configuration, or leaving")
         }
     })
-    .dump_section("node", part(dump_node))
-    .dump_section("vms", part(dump_vms))
-    .dump_section("endpoints", part(dump_endpoints))
+    .dump_section("node", section(dump_node))
+    .dump_section("vms", section(dump_vms))
+    .dump_section("endpoints", section(dump_endpoints))
     .refresh_gauges(move || update_gauges(&gauges))
 }
 
@@ -66,18 +66,18 @@
     let now = Instant::now();
     lock(&node.balancer)
         .endpoint_estimates(now)
-        .map(|belief| {
+        .map(|estimate| {
             json!({
-                "id": &*belief.endpoint.key.id,
-                "service": belief.endpoint.service.as_str(),
-                "address": belief.endpoint.address.to_string(),
-                "draining": belief.endpoint.draining,
-                "in_flight": belief.in_flight,
-                "load": belief.load,
-                "failures": belief.failures,
-                "slowness": belief.slowness,
-                "resting": belief.ejected,
-                "cold": belief.cold,
+                "id": &*estimate.endpoint.key.id,
+                "service": estimate.endpoint.service.as_str(),
+                "address": estimate.endpoint.address.to_string(),
+                "draining": estimate.endpoint.draining,
+                "in_flight": estimate.in_flight,
+                "load": estimate.load,
+                "failures": estimate.failures,
+                "slowness": estimate.slowness,
+                "resting": estimate.ejected,
+                "cold": estimate.cold,
             })
         })
         .collect()
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Encodes a heartbeat with this VM's demand and the pending affinity updates,
-/// which are pending no longer afterwards.
+/// Encodes a heartbeat with this VM's demand, and moves pending affinity updates
+/// into it, at most [`MAX_AFFINITIES_PER_HEARTBEAT`].
 fn encode_heartbeat(node: &Node, now: Instant) -> Vec<u8> {
     let demand = lock(&node.quotas).demand(now);
     let affinities = lock(&node.balancer)
@@ -276,7 +276,7 @@
             heartbeat.leaving,
         );
     }
-    store::record_peer_store_uptime(node, store_uptime, now);
+    store::detect_local_outage(node, store_uptime, now);
     lock(&node.balancer).apply_affinities(affinities, now);
     let mut requester = None;
     if wants_affinities {
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -64,7 +64,7 @@
     /// The relay cannot be reached or did not answer in time.
     #[error(transparent)]
     Link(#[from] crate::connection::LinkError),
-    /// An object in the response is malformed.
+    /// An object in the reply is malformed.
     #[error("malformed object: {0}")]
     Object(#[from] serde_json::Error),
     /// The relay has no copy of the kind, or none that the store confirmed
@@ -113,8 +113,9 @@
     .await;
 }
 
-/// Waits for something newer than the requesting node holds, up to the wait
-/// that it asked for. Returns `None` when this node has no copy of the kind.
+/// Waits until this node has something newer than the requesting node, at most
+/// for the time that the pull allows. Returns `None` when this node has no copy
+/// of the kind, or does not know when the store confirmed its copies.
 async fn answer_pull(node: &Node, pull: &StorePull) -> Option<StoreUpdate> {
     let received_at = Instant::now();
     let kind = kind_from_number(pull.kind)?;
@@ -123,7 +124,10 @@
         let revision = node.store_copy.with(kind, |copy| copy.revision());
         pull.revision.is_none() || revision > pull.revision
     };
-    let update = |node: &Node| node.store_copy.with(kind, |copy| copy.since(pull.revision));
+    let update = |node: &Node| {
+        node.store_copy
+            .with(kind, |copy| copy.update_since(pull.revision))
+    };
     let deadline = received_at + Duration::from_millis(u64::from(pull.wait_ms));
     let mut reply = update(node)?;
     let first_confirmation = reply.confirmed_at;
@@ -176,7 +180,7 @@
 /// `revision` is `None`.
 ///
 /// The relay may hold the pull for up to `wait` until there is a change; the
-/// call fails when the response has not arrived `timeout` after that.
+/// call fails when the reply has not arrived `timeout` after that.
 pub(super) async fn pull(
     node: &Node,
     link: &PeerLink,
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -62,8 +62,8 @@
     version: u64,
 }
 
-/// A refusal, and the delay after which the caller may try again, if it is to be
-/// told one.
+/// A refusal, and the delay after which the caller may try again if the response
+/// states one.
 #[derive(Debug)]
 struct Refused {
     refusal: Refusal,
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -602,12 +602,11 @@
     outage.map(|outage| outage.ended_at)
 }
 
-/// Records for how long another VM has reached the store without an outage.
-///
-/// If this covers the last outage that this node saw, the outage was local to
-/// this VM. Registrations that disappeared were then removed on purpose rather
+/// Detects that the last outage that this node saw was local to this VM: another
+/// VM has reached the store without an outage for `uptime`, which covers it.
+/// Registrations that disappeared were then removed on purpose rather
 /// than lapsed because they could not be renewed, so they are dropped at once.
-pub(super) fn record_peer_store_uptime(node: &Node, uptime: Duration, now: Instant) {
+pub(super) fn detect_local_outage(node: &Node, uptime: Duration, now: Instant) {
     let mut store_health = lock(&node.store_health);
     let Some(outage) = store_health.last_outage() else {
         return;
--- a/crates/filbertgrade/src/request/decision.rs
+++ b/crates/filbertgrade/src/request/decision.rs
@@ -37,7 +37,7 @@
     /// The caller disconnected before it had sent its whole body.
     CallerGone,
     /// The connection ended in the middle of the response.
-    ResponseCut,
+    ResponseTruncated,
 }
 
 /// Everything besides the failure that determines the next step.
@@ -156,7 +156,7 @@
             Self::NoConnection
             | Self::ConnectionLost { .. }
             | Self::MalformedResponse
-            | Self::ResponseCut => Cause::BackendFailed,
+            | Self::ResponseTruncated => Cause::BackendFailed,
             Self::ConnectionTimedOut | Self::DeadlinePassed => Cause::BackendSilent,
             Self::Shed => Cause::Busy,
             Self::Draining | Self::Misdirected => Cause::NoEndpoint,
--- a/crates/filbertgrade/src/request/mod.rs
+++ b/crates/filbertgrade/src/request/mod.rs
@@ -1,5 +1,5 @@
-//! State and decisions that last for one request: the limits that callers set,
-//! the upload of the body, attempts and retries, the idempotency guard, and
+//! Handling of a single request: the limits that callers set, the upload of the
+//! body, attempts, retries and their budget, the idempotency guard, and
 //! refusals.
 
 mod attempt;
--- a/crates/filbertgrade/src/request/upload.rs
+++ b/crates/filbertgrade/src/request/upload.rs
@@ -29,7 +29,7 @@
     Slow,
     /// Reading failed before the whole body had arrived.
     #[error("the request body ended early")]
-    Cut,
+    Truncated,
     /// A newer attempt reads the body now.
     #[error("the request body is read by a newer attempt")]
     Superseded,
@@ -168,7 +168,7 @@
 
     /// Why reading from the caller failed, if it did.
     #[must_use]
-    pub fn fault(&self) -> Option<UploadError> {
+    pub fn error(&self) -> Option<UploadError> {
         self.lock().error
     }
 
@@ -198,7 +198,7 @@
                     self.ended = true;
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return Poll::Ready(Some(Err(self.fail(UploadError::Cut)))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(self.fail(UploadError::Truncated)))),
                 Some(Ok(frame)) => frame.into_data(),
             };
             self.ended = self.body.is_end_stream();
--- a/crates/filbertgrade/src/wire/store.rs
+++ b/crates/filbertgrade/src/wire/store.rs
@@ -18,7 +18,7 @@
     pub wait_ms: u32,
 }
 
-/// Response of a relay to a [`StorePull`].
+/// Reply of a relay to a [`StorePull`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StoreUpdate {
     /// The relay has no copy of the kind, or the store has not confirmed its
@@ -34,17 +34,17 @@
     /// The objects or changes, oldest first.
     #[prost(message, repeated, tag = "4")]
     pub events: Vec<StoreEvent>,
-    /// How long the relay held the pull before it answered.
+    /// How long the relay held the pull before it replied, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub hold_ms: u64,
-    /// Time since the store last confirmed the relay's copy.
+    /// Time in milliseconds since the store last confirmed the relay's copy.
     #[prost(uint64, tag = "6")]
     pub age_ms: u64,
-    /// How long ago the last outage of the store that the relay saw started.
-    /// Absent when it saw none.
+    /// How many milliseconds ago the last outage of the store that the relay saw
+    /// started. Absent when it saw none.
     #[prost(uint64, optional, tag = "7")]
     pub outage_started_ms: Option<u64>,
-    /// How long ago this outage ended.
+    /// How many milliseconds ago this outage ended.
     #[prost(uint64, optional, tag = "8")]
     pub outage_ended_ms: Option<u64>,
 }
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{TestCluster, eventually};
 use filbertgrade_standins::node::store::StoreFault;
 
-/// Required time for a change to take effect.
+/// Longest time that a change may need to take effect.
 const CHANGE_TIME_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// Guards against withdrawn keys that still work and new keys that do not.
--- a/crates/filbertgrade/tests/path/decisions.rs
+++ b/crates/filbertgrade/tests/path/decisions.rs
@@ -24,7 +24,7 @@
         Failure::MalformedResponse,
         Failure::CallerSlow,
         Failure::CallerGone,
-        Failure::ResponseCut,
+        Failure::ResponseTruncated,
     ])
 }
 
@@ -115,7 +115,7 @@
     #[test]
     fn response_that_started_is_aborted(context in contexts()) {
         prop_assume!(context.state == AttemptState::ResponseStarted);
-        for failure in [Failure::ResponseCut, Failure::DeadlinePassed] {
+        for failure in [Failure::ResponseTruncated, Failure::DeadlinePassed] {
             prop_assert_eq!(next_step(failure, &context), NextStep::AbortResponse);
         }
     }
