--- a/crates/filbertgrade/src/explain/mod.rs
+++ b/crates/filbertgrade/src/explain/mod.rs
@@ -162,7 +162,8 @@
 impl fmt::Display for RequestHistory {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for entry in self.sorted_by_time() {
-            // The word that marks a line of context.
+            // The word marks a line of context, which shows the state that the
+            // process had last logged.
             let mark = if entry.is_context { "believed " } else { "" };
             writeln!(f, "{}: {mark}{}", entry.log, entry.text)?;
         }
--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -17,7 +17,7 @@
 use crate::request::{Cause, Refusal};
 use crate::sync::{lock, read, write};
 use crate::version::InForce;
-use crate::wire::{Body, Borrow, LoanMessage};
+use crate::wire::{Body, LoanMessage, RequestLoan};
 
 /// Longest time a request waits for a token. A longer queue would only delay
 /// the refusal.
@@ -416,7 +416,7 @@
         };
         let share = Arc::clone(share);
         tokio::spawn(async move {
-            let body = Body::Borrow(Borrow::from((&share.name, &request)));
+            let body = Body::RequestLoan(RequestLoan::from((&share.name, &request)));
             match link.call(body, PEER_TIMEOUT).await {
                 Ok(Body::Loan(loan)) => credit_loan(&share, &request, loan),
                 Ok(_) => {}
--- a/crates/filbertgrade/src/process/entry/peers.rs
+++ b/crates/filbertgrade/src/process/entry/peers.rs
@@ -5,12 +5,12 @@
 use super::Entry;
 use crate::logfmt;
 use crate::wire::{
-    Body, Borrow, LoanMessage, LoanMessageError, LoanRenewed, RenewLoan, ReturnLoan,
+    Body, LoanMessage, LoanMessageError, LoanRenewed, RenewLoan, RequestLoan, ReturnLoan,
 };
 
 pub(crate) async fn handle(entry: Arc<Entry>, body: Body) -> Option<Body> {
     match body {
-        Body::Borrow(borrow) => reply_or_log(lend(&entry, borrow).map(Body::Loan)),
+        Body::RequestLoan(borrow) => reply_or_log(lend(&entry, borrow).map(Body::Loan)),
         Body::RenewLoan(renewal) => reply_or_log(renew(&entry, renewal).map(Body::LoanRenewed)),
         Body::ReturnLoan(returned) => {
             if let Err(error) = accept_return(&entry, returned) {
@@ -21,9 +21,9 @@
             }
             None
         }
-        Body::Acquire(acquire) => Some(entry.slots.serve_acquire(&entry.view(), acquire).await),
+        Body::AcquireSlot(acquire) => Some(entry.slots.serve_acquire(&entry.view(), acquire).await),
         Body::RenewPermit(renewal) => Some(entry.slots.serve_renewal(&entry.view(), renewal)),
-        Body::Release(release) => {
+        Body::ReleaseSlot(release) => {
             entry.slots.serve_release(&release);
             None
         }
@@ -31,7 +31,7 @@
     }
 }
 
-fn lend(entry: &Entry, borrow: Borrow) -> Result<LoanMessage, LoanMessageError> {
+fn lend(entry: &Entry, borrow: RequestLoan) -> Result<LoanMessage, LoanMessageError> {
     let (team, request) = borrow.try_into()?;
     Ok(entry.admission.lend(&team, &request).into())
 }
--- a/crates/filbertgrade/src/process/entry/slots/grant.rs
+++ b/crates/filbertgrade/src/process/entry/slots/grant.rs
@@ -128,14 +128,14 @@
     let Some(link) = shared.links.link_to(&held.owner) else {
         return;
     };
-    let release = wire::Release {
+    let release = wire::ReleaseSlot {
         service: id.service.to_string(),
         region: id.region.to_string(),
         permit: Some(held.permit.into()),
         fault: wire::EndpointFault::from(fault).into(),
     };
     tokio::spawn(async move {
-        let _ = link.notify(Body::Release(release)).await;
+        let _ = link.notify(Body::ReleaseSlot(release)).await;
     });
 }
 
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -215,7 +215,7 @@
     }
 
     /// Handles another entry's request for a slot.
-    pub(crate) async fn serve_acquire(&self, view: &InForce, message: wire::Acquire) -> Body {
+    pub(crate) async fn serve_acquire(&self, view: &InForce, message: wire::AcquireSlot) -> Body {
         match self.acquire_for_peer(view, &message).await {
             Ok((permit, endpoint)) => Body::Permit(wire::Permit {
                 permit: Some(permit),
@@ -249,7 +249,7 @@
     }
 
     /// Frees a slot that another entry has used.
-    pub(crate) fn serve_release(&self, message: &wire::Release) {
+    pub(crate) fn serve_release(&self, message: &wire::ReleaseSlot) {
         let service = message.service.as_str().try_into();
         let (Ok(service), Ok(region)) = (service, message.region.as_str().try_into()) else {
             return;
@@ -385,7 +385,7 @@
         };
         let wait = deadline.saturating_duration_since(Instant::now());
         let round_trip = view.round_trip(&self.shared.settings.region, &id.region);
-        let body = Body::Acquire(wire::Acquire {
+        let body = Body::AcquireSlot(wire::AcquireSlot {
             service: id.service.to_string(),
             region: id.region.to_string(),
             team: team_of(criteria).to_string(),
@@ -456,7 +456,7 @@
     async fn acquire_for_peer(
         &self,
         view: &InForce,
-        message: &wire::Acquire,
+        message: &wire::AcquireSlot,
     ) -> Result<(wire::PermitId, SocketAddr), DeniedCause> {
         let unknown = |_| DeniedCause::Unknown;
         let id = PoolId {
--- a/crates/filbertgrade/src/process/node/heartbeat.rs
+++ b/crates/filbertgrade/src/process/node/heartbeat.rs
@@ -81,7 +81,7 @@
 }
 
 /// Sends a summary of this region to the VMs of all other regions, if this node
-/// is the relay of its region.
+/// follows the store for its region, that is, if it has no relay itself.
 async fn send_region_summary(node: &Node, socket: &UdpSocket) {
     let now = Instant::now();
     if lock(&node.members).relay(now).is_some() {
--- a/crates/filbertgrade/src/wire/loans.rs
+++ b/crates/filbertgrade/src/wire/loans.rs
@@ -6,7 +6,7 @@
 };
 use filbertgrade_coord::names::{NameError, TeamName};
 
-use super::{Borrow, LoanMessage, LoanRenewed, RenewLoan, ReturnLoan, ScopedId};
+use super::{LoanMessage, LoanRenewed, RenewLoan, RequestLoan, ReturnLoan, ScopedId};
 
 /// Why a message about a loan was rejected.
 #[derive(Debug, thiserror::Error)]
@@ -23,7 +23,7 @@
     Share(#[from] RateShareError),
 }
 
-impl From<(&TeamName, &LoanRequest)> for Borrow {
+impl From<(&TeamName, &LoanRequest)> for RequestLoan {
     fn from((team, request): (&TeamName, &LoanRequest)) -> Self {
         Self {
             team: team.to_string(),
@@ -39,21 +39,21 @@
     }
 }
 
-impl TryFrom<Borrow> for (TeamName, LoanRequest) {
+impl TryFrom<RequestLoan> for (TeamName, LoanRequest) {
     type Error = LoanMessageError;
 
-    fn try_from(borrow: Borrow) -> Result<Self, LoanMessageError> {
-        let id = borrow.request.ok_or(LoanMessageError::MissingId)?;
+    fn try_from(message: RequestLoan) -> Result<Self, LoanMessageError> {
+        let id = message.request.ok_or(LoanMessageError::MissingId)?;
         let request = LoanRequest {
             id: LoanRequestId {
                 borrower: id.vm.as_str().try_into()?,
                 incarnation: id.incarnation,
                 number: id.number,
             },
-            share: RateShare::new(borrow.rate, borrow.burst)?,
-            tokens: borrow.tokens,
+            share: RateShare::new(message.rate, message.burst)?,
+            tokens: message.tokens,
         };
-        Ok((borrow.team.as_str().try_into()?, request))
+        Ok((message.team.as_str().try_into()?, request))
     }
 }
 
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -52,8 +52,8 @@
     StatusReply(StatusReply),
     /// Entry to entry: requests a loan of rate, burst and tokens.
     #[prost(message, tag = "9")]
-    Borrow(Borrow),
-    /// Reply to [`Borrow`].
+    RequestLoan(RequestLoan),
+    /// Reply to [`RequestLoan`].
     #[prost(message, tag = "10")]
     Loan(LoanMessage),
     /// Entry to entry: requests that the lender extend a loan.
@@ -67,11 +67,11 @@
     ReturnLoan(ReturnLoan),
     /// Entry to entry: requests a slot from the owner of a slot pool.
     #[prost(message, tag = "14")]
-    Acquire(Acquire),
-    /// Reply to [`Acquire`] and [`RenewPermit`] that grants the slot.
+    AcquireSlot(AcquireSlot),
+    /// Reply to [`AcquireSlot`] and [`RenewPermit`] that grants the slot.
     #[prost(message, tag = "15")]
     Permit(Permit),
-    /// Reply to [`Acquire`] and [`RenewPermit`] that denies the slot.
+    /// Reply to [`AcquireSlot`] and [`RenewPermit`] that denies the slot.
     #[prost(message, tag = "16")]
     Denied(Denied),
     /// Entry to entry: extends a permit.
@@ -79,7 +79,7 @@
     RenewPermit(RenewPermit),
     /// Entry to entry, one-way: frees a slot.
     #[prost(message, tag = "18")]
-    Release(Release),
+    ReleaseSlot(ReleaseSlot),
     /// Node to node: requests newer objects of the store.
     #[prost(message, tag = "19")]
     StorePull(StorePull),
@@ -294,7 +294,7 @@
 
 /// Request for a loan from a team's rate and burst.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Borrow {
+pub struct RequestLoan {
     /// Team name.
     #[prost(string, tag = "1")]
     pub team: String,
@@ -312,8 +312,8 @@
     pub tokens: f64,
 }
 
-/// Reply to [`Borrow`]: the share that the borrower may use until the lease of
-/// the loan ends.
+/// Reply to [`RequestLoan`]: the share that the borrower may use until the lease
+/// of the loan ends.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoanMessage {
     /// Id of the loan; its VM is the lender. `None` when nothing was lent.
@@ -383,7 +383,7 @@
 
 /// Request to the owner of a slot pool for a slot.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Acquire {
+pub struct AcquireSlot {
     /// Service name.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -478,7 +478,7 @@
 
 /// Frees a slot.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Release {
+pub struct ReleaseSlot {
     /// Service name.
     #[prost(string, tag = "1")]
     pub service: String,
