--- a/crates/filbertgrade/src/connection/backend.rs
+++ b/crates/filbertgrade/src/connection/backend.rs
@@ -21,7 +21,7 @@
 use super::counting::{ByteCount, CountingIo};
 
 /// Default time for which a whole response verifies that a connection works.
-/// Non-idempotent requests are not sent on an older connection.
+/// After that, non-idempotent requests are not sent on the connection.
 pub const MAX_VERIFIED_AGE: Duration = Duration::from_secs(1);
 
 /// Time limit for a connection to become ready for the next request after a
--- a/crates/filbertgrade/src/process/entry/forward.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -212,7 +212,7 @@
 async fn record_outcome(claim: Option<Claim>, end: Result<u16, Refusal>) {
     let Some(claim) = claim else { return };
     match end {
-        Ok(status) => claim.done(status),
+        Ok(status) => claim.record_response(status),
         Err(refusal) if refusal.is_not_run() => claim.release().await,
         Err(_) => {}
     }
@@ -252,7 +252,7 @@
         };
         may_have_run |= request::may_have_run(failed.failure, failed.state);
         if !may_have_run && let Some(claim) = claim.as_deref_mut() {
-            claim.not_run();
+            claim.mark_not_run();
         }
         match request::next_step(failed.failure, &context) {
             NextStep::RefuseNotRun(cause) => return Err(Refusal::not_run(cause)),
@@ -350,7 +350,7 @@
         return Err(not_sent(Failure::DeadlinePassed));
     };
     if let Some(claim) = claim {
-        claim.sending();
+        claim.mark_sending();
     }
     let response = match wait_for_response(call, &mut connection, req).await {
         Ok(response) => response,
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -51,9 +51,9 @@
 use crate::process::tasks::Tasks;
 use crate::sync::lock;
 
-/// Longest time since the last sign of life of a connection on which a
-/// non-idempotent request may be sent. Backend servers keep idle connections
-/// for several times as long.
+/// Longest time since a connection was opened or delivered its last response
+/// for a non-idempotent request to be sent on it. Backend servers keep idle
+/// connections for several times as long.
 const MAX_VERIFIED_AGE: Duration = Duration::from_secs(4);
 
 /// Longest idle time of a connection whose backend server announces no limit.
--- a/crates/filbertgrade/src/request/guard.rs
+++ b/crates/filbertgrade/src/request/guard.rs
@@ -190,19 +190,19 @@
     }
 
     /// Marks the request as about to be sent; from now on it may run.
-    pub fn sending(&mut self) {
+    pub fn mark_sending(&mut self) {
         self.may_have_run = true;
     }
 
     /// Marks the request as not run, after all attempts so far failed without
     /// running it.
-    pub fn not_run(&mut self) {
+    pub fn mark_not_run(&mut self) {
         self.may_have_run = false;
     }
 
     /// Records in the background that a backend server ran the request and
     /// responded with `status`.
-    pub fn done(mut self, status: u16) {
+    pub fn record_response(mut self, status: u16) {
         self.record.state = AttemptRecordState::Done;
         self.record.status = Some(status);
         drop(self.settle_in_background());
