--- a/crates/filbertgrade/tests/operators/apply.rs
+++ b/crates/filbertgrade/tests/operators/apply.rs
@@ -56,7 +56,7 @@
     let file = TempConfig::new(&fleet.config().replace("slots = 4", "slots = 5"));
     // Loses four responses: those to the write of the changed part and its
     // retry, and more than one for the root.
-    fleet.platform.lose_next_answers(4);
+    fleet.platform.drop_next_responses(4);
     let output = run(&fleet, &["apply", file.path()]).await;
     assert_eq!(output.code, 0, "{output:?}");
     assert!(
@@ -65,7 +65,7 @@
             .contains("accepted as version 2; the store's answer was lost")
     );
     assert_eq!(root(&fleet)["version"], 2);
-    fleet.platform.lose_next_answers(0);
+    fleet.platform.drop_next_responses(0);
 }
 
 /// Guards against a conflict that is reported wrongly when another apply replaces
@@ -82,7 +82,7 @@
     assert_eq!(run(&fleet, &["apply", second.path()]).await.code, 0);
     fleet.platform.set_delay(Duration::from_millis(150));
     let store = &fleet.platform;
-    store.lose_next_answers(u64::MAX);
+    store.drop_next_responses(u64::MAX);
     let revision = store.revision();
     let replace = async {
         while store.revision() < revision + 1 || root(&fleet)["version"] != 3 {
@@ -93,7 +93,7 @@
         next["version"] = 4.into();
         next["apply_id"] = "another".into();
         store.put("config/root", serde_json::to_vec(&next).unwrap());
-        store.lose_next_answers(0);
+        store.drop_next_responses(0);
     };
     let args = ["apply", first.path()];
     let (output, ()) = tokio::join!(run(&fleet, &args), replace);
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use http::Request;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::{http1, http2};
@@ -57,7 +57,7 @@
         let (served, refused) = caller.await.unwrap();
         assert!(served > 0);
         for id in refused {
-            let ran: u64 = fleet.backends.iter().map(|b| b.ran(&id)).sum();
+            let ran: u64 = fleet.backends.iter().map(|b| b.run_count(&id)).sum();
             assert_eq!(
                 ran, 0,
                 "{id} ran although GOAWAY reported it as not processed"
@@ -97,7 +97,7 @@
         assert_eq!(response.status(), 200, "{id}: {:?}", response.headers());
         let closes = response.headers().contains_key("connection");
         let body = response.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 20_000), "{id}");
+        assert!(body == expected_response(&id, b"", 20_000), "{id}");
         if closes {
             return n + 1;
         }
@@ -136,7 +136,7 @@
         };
         assert_eq!(response.status(), 200, "{id}: {:?}", response.headers());
         let body = response.into_body().collect().await.unwrap().to_bytes();
-        assert!(body == expected_answer(&id, b"", 20_000), "{id}");
+        assert!(body == expected_response(&id, b"", 20_000), "{id}");
     }
     0
 }
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -32,7 +32,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbertgrade_standins::backend::expected_answer;
+use filbertgrade_standins::backend::expected_response;
 use filbertgrade_standins::proxy::{Direction, Fault};
 use goldenscript::{Command, Context, Runner};
 use http::{Request, Response};
@@ -121,7 +121,7 @@
             }
             "ran" => {
                 let id = first();
-                let ran: u64 = self.fleet.backends.iter().map(|b| b.ran(&id)).sum();
+                let ran: u64 = self.fleet.backends.iter().map(|b| b.run_count(&id)).sum();
                 ran.to_string()
             }
             "cancelled" => {
@@ -202,7 +202,7 @@
             .parse()?;
         Ok(TestRequest {
             vm: self.fleet.vms[vm - 1].caller_address(),
-            expected: expected_answer(id, &body, size),
+            expected: expected_response(id, &body, size),
             req: req.body(Full::new(body))?,
         })
     }
@@ -214,11 +214,11 @@
         let cut_after = args.take_key("after").unwrap_or("0").parse()?;
         while let Some((fault, value)) = args.next_key() {
             match fault {
-                "swallow" => backend.swallow_next(value.parse()?),
-                "cut" => backend.cut_next_answers(value.parse()?, cut_after),
+                "swallow" => backend.withhold_next_responses(value.parse()?),
+                "cut" => backend.cut_next_responses(value.parse()?, cut_after),
                 "close_unread" => backend.close_next_unread(value.parse()?),
                 "draining" => backend.set_draining(value.parse()?),
-                "silence_open" => backend.silence_open_connections(),
+                "silence_open" => backend.freeze_open_connections(),
                 _ => return Err(format!("unknown fault {fault}").into()),
             }
         }
@@ -237,7 +237,7 @@
         while let Some((fault, value)) = args.next_key() {
             let truncate_after = Some(value.parse().unwrap_or(0));
             let silent = Fault {
-                silent: true,
+                stalled: true,
                 ..Fault::default()
             };
             let truncate = Fault {
@@ -266,7 +266,7 @@
             match fault {
                 "down" => self.fleet.platform.set_down(value.parse()?),
                 "unresponsive" => self.fleet.platform.set_unresponsive(value.parse()?),
-                "lose_answers" => self.fleet.platform.lose_next_answers(value.parse()?),
+                "lose_answers" => self.fleet.platform.drop_next_responses(value.parse()?),
                 _ => return Err(format!("unknown fault {fault}").into()),
             }
         }
