--- a/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/ranking.rs
@@ -107,12 +107,12 @@
         let preferred = &service.endpoints[*preferred];
         if !preferred.is_available(now) {
             let candidate = self.cheapest(service, request, others, 1, now);
-            return candidate.filter(|candidate| service.permits(request, candidate, now));
+            return candidate.filter(|candidate| service.may_send(request, candidate, now));
         }
         // The object evicts others from the cache of another endpoint, so it
         // goes only to one that has a free slot.
         let has_free_slot = |candidate: &Candidate| {
-            candidate.wait <= 0.0 && service.permits(request, candidate, now)
+            candidate.wait <= 0.0 && service.may_send(request, candidate, now)
         };
         let (same_region, other_regions): (Vec<usize>, Vec<usize>) = others
             .iter()
@@ -242,10 +242,10 @@
         let slots = f64::from(state.endpoint.slots);
         // A hit is expected to be at least as fast as a miss, so queued requests
         // are assumed to take as long as a hit.
-        let queued = service
+        let queued_latency = service
             .expected_hit_latency(request)
             .min(service.expected_miss_latency(request));
-        let wait = (load + 1.0 - slots).max(0.0) / slots * queued * slowness;
+        let wait = (load + 1.0 - slots).max(0.0) / slots * queued_latency * slowness;
         let saved = service.expected_miss_latency(request) - service.expected_hit_latency(request);
         let work = if object_cached || !request.sticky {
             service.expected_hit_latency(request)
@@ -254,7 +254,7 @@
         } else {
             service.expected_miss_latency(request) + saved * EVICTION_COST
         };
-        let cold = if state.is_cold(now) { 2.0 } else { 1.0 };
+        let cold_factor = if state.is_cold(now) { 2.0 } else { 1.0 };
         let failures = state.decayed(state.failures, 0.0, now);
         let failure_cost = if request.idempotent {
             FAILURE_COST_IDEMPOTENT
@@ -263,7 +263,7 @@
         };
         let cost = self.round_trip(&state.region)
             + wait
-            + work * slowness * cold
+            + work * slowness * cold_factor
             + failures * failure_cost
             + rank as f64 * RANK_COST;
         Some(Candidate {
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -617,7 +617,7 @@
     store_health.discard_local_outage();
     drop(store_health);
     log::info!("event=outage_was_own");
-    if lock(&node.registry).drop_lapsed() {
+    if lock(&node.registry).remove_unregistered() {
         update_balancer_endpoints(node, now);
     }
 }
