--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -354,8 +354,8 @@
     }
 }
 
-/// Checks that a response belongs to this request and comes from a backend
-/// server. Returns the failure if it does not.
+/// Checks that a response belongs to this request and, if it is a success, has
+/// the seal of a backend server. Returns the failure if it does not.
 fn response_failure(head: &ResponseHead, status: StatusCode, call: &Call) -> Option<Failure> {
     let id_matches = match (&head.id, &call.head.id) {
         (Some(echoed), Some(sent)) => echoed == sent,
@@ -363,8 +363,8 @@
         (None, Some(_)) => head.kind != ResponseKind::Run,
         (_, None) => true,
     };
-    let unsigned = status.is_success() && !head.signed;
-    (!id_matches || unsigned).then_some(Failure::MalformedResponse)
+    let seal_missing = status.is_success() && !head.has_seal;
+    (!id_matches || seal_missing).then_some(Failure::MalformedResponse)
 }
 
 async fn buffer_response(
