--- a/crates/filbertgrade/src/process/agent/mod.rs
+++ b/crates/filbertgrade/src/process/agent/mod.rs
@@ -47,7 +47,7 @@
 /// missed more of them receives a snapshot.
 const MAX_LOGGED_CHANGES: usize = 4096;
 
-/// Why the agent stopped.
+/// Why the agent could not start.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum AgentError {
@@ -231,7 +231,7 @@
     let operator_listener = operator::listen(address)
         .await
         .map_err(|source| AgentError::Listen { address, source })?;
-    operator::record_metrics();
+    operator::install_metrics_recorder();
     tokio::spawn(dump::operator_port(&agent).serve(operator_listener));
     tokio::spawn(store::follow_store(Arc::clone(&agent)));
     tokio::spawn(pull::pull_from_peers(Arc::clone(&agent)));
--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -234,7 +234,7 @@
         }
         ResponseKind::Misdirected => {
             let failure = Failure::Misdirected;
-            refused(&mut attempt, call, failure, Outcome::Mismatched, None)
+            refused(&mut attempt, call, failure, Outcome::Misdirected, None)
         }
         ResponseKind::Run => {
             let failed = attempt.end_with_response(head, &parts, call);
@@ -350,12 +350,12 @@
         Failure::MalformedResponse => "malformed_answer",
         Failure::CallerSlow => "caller_slow",
         Failure::CallerGone => "caller_gone",
-        Failure::ResponseCut => "answer_cut",
+        Failure::ResponseTruncated => "answer_cut",
     }
 }
 
-/// Checks that a response belongs to this request and comes from a backend
-/// server. Returns the failure if it does not.
+/// Checks that a response belongs to this request and, if it is a success, has
+/// the seal of a backend server. Returns the failure if it does not.
 fn response_failure(head: &ResponseHead, status: StatusCode, call: &Call) -> Option<Failure> {
     let id_matches = match (&head.id, &call.head.id) {
         (Some(echoed), Some(sent)) => echoed == sent,
@@ -363,8 +363,8 @@
         (None, Some(_)) => head.kind != ResponseKind::Run,
         (_, None) => true,
     };
-    let unsigned = status.is_success() && !head.signed;
-    (!id_matches || unsigned).then_some(Failure::MalformedResponse)
+    let seal_missing = status.is_success() && !head.has_seal;
+    (!id_matches || seal_missing).then_some(Failure::MalformedResponse)
 }
 
 async fn buffer_response(
@@ -382,7 +382,7 @@
     .await
     {
         Ok(Ok(body)) => Ok((parts, body)),
-        Ok(Err(_)) => Err(Failure::ResponseCut),
+        Ok(Err(_)) => Err(Failure::ResponseTruncated),
         Err(_) => Err(Failure::DeadlinePassed),
     }
 }
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -51,9 +51,9 @@
 use crate::process::tasks::Tasks;
 use crate::sync::lock;
 
-/// Longest time since the last sign of life of a connection on which a
-/// non-idempotent request may be sent. Backend servers keep idle connections
-/// for several times as long.
+/// Longest time since a connection was opened or delivered its last response
+/// for a non-idempotent request to be sent on it. Backend servers keep idle
+/// connections for several times as long.
 const MAX_VERIFIED_AGE: Duration = Duration::from_secs(4);
 
 /// Longest idle time of a connection whose backend server announces no limit.
@@ -302,7 +302,7 @@
     let stop = StopSignals::new().map_err(NodeError::Signals)?;
     let reload = reload_signal().map_err(NodeError::Signals)?;
     let listeners = Listeners::bind(&settings, metrics_port).await?;
-    operator::record_metrics();
+    operator::install_metrics_recorder();
     let Listeners {
         callers,
         lookups,
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{TestCluster, eventually};
 use filbertgrade_standins::node::store::StoreFault;
 
-/// Required time for a change to take effect.
+/// Longest time that a change may need to take effect.
 const CHANGE_TIME_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// Guards against withdrawn keys that still work and new keys that do not.
@@ -102,7 +102,7 @@
 async fn all_objects_are_read_again_after_the_store_discards_its_history() {
     let mut cluster = TestCluster::start(&[1]).await;
     cluster.configure(|spec| spec["routes"][0]["path-prefix"] = "/moved/".into());
-    cluster.store.forget_history();
+    cluster.store.discard_history();
     eventually("the route has moved", || async {
         cluster.get("moved", "d1").await.status == 200
     })
