--- a/crates/filbertgrade-blocks/examples/measure.rs
+++ b/crates/filbertgrade-blocks/examples/measure.rs
@@ -1,4 +1,4 @@
-//! Measures look-ups, deltas, copies and memory of the table at several sizes, and prints one JSON
+//! Measures lookups, deltas, copies and memory of the table at several sizes, and prints one JSON
 //! object.
 //!
 //! `cargo run --release -p filbertgrade-blocks --example measure -- [--blocks N] [--seed S]`
@@ -34,9 +34,9 @@
 /// Numbers of blocks without `--blocks`.
 const SIZES: [usize; 3] = [50_000, 500_000, 5_000_000];
 const DEFAULT_SEED: u64 = 20_260_101;
-/// Number of look-ups in one timed pass.
+/// Number of lookups in one timed pass.
 const LOOKUPS: usize = 2_000_000;
-/// Number of distinct blocks that the addresses of clustered look-ups are in.
+/// Number of distinct blocks that the addresses of clustered lookups are in.
 const CLUSTER_BLOCKS: usize = 2_000;
 /// Duration of each phase of the swap measurement.
 const SWAP_PHASE: Duration = Duration::from_secs(2);
@@ -298,7 +298,7 @@
     })
 }
 
-/// Returns the look-ups per second of one pass over `addrs`.
+/// Returns the lookups per second of one pass over `addrs`.
 fn lookup_rate(addrs: &[IpAddr], lookup: impl Fn(IpAddr) -> Option<SiteId>) -> f64 {
     let started = Instant::now();
     for &addr in addrs {
@@ -477,7 +477,7 @@
     table.encode().manifest.total_bytes()
 }
 
-/// Compares the latency of single look-ups without and with concurrent swaps of the table, in
+/// Compares the latency of single lookups without and with concurrent swaps of the table, in
 /// alternating phases.
 fn measure_swaps(
     table: &BlockTable,
@@ -530,7 +530,7 @@
     })
 }
 
-/// Runs `work` while [`READERS`] threads look up addresses. Returns the latency of every look-up in
+/// Runs `work` while [`READERS`] threads look up addresses. Returns the latency of every lookup in
 /// nanoseconds.
 fn time_lookups_during(
     shared: &SharedBlockTable,
--- a/crates/filbertgrade-blocks/src/fetch.rs
+++ b/crates/filbertgrade-blocks/src/fetch.rs
@@ -223,7 +223,7 @@
     }
 
     /// Fetches the chunk at `index` of the manifest before the others, for example because a
-    /// look-up needs it.
+    /// lookup needs it.
     pub fn prioritize(&mut self, index: usize) {
         if !self.chunks[index].done && !self.prioritized.contains(&index) {
             self.prioritized.push(index);
--- a/crates/filbertgrade-blocks/src/lib.rs
+++ b/crates/filbertgrade-blocks/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! - [`BlockTable`] finds the site of an address by longest prefix match.
 //! - [`BlockDelta`] turns one version into the next.
-//! - [`SharedBlockTable`] replaces the current table while look-ups read it.
+//! - [`SharedBlockTable`] replaces the current table while lookups read it.
 //! - [`EncodedTable`] is a whole copy of a table: a [`Manifest`] and chunks identified by their
 //!   SHA-256.
 //! - [`FetchPlan`] decides what a new VM fetches from which peer within a byte budget, and
-//!   [`PartialTable`] serves look-ups from the chunks received so far.
+//!   [`PartialTable`] serves lookups from the chunks received so far.
 //!
 //! ```
 //! use filbertgrade_blocks::{BlockEntry, BlockTable, SiteId, Version};
--- a/crates/filbertgrade-blocks/src/page.rs
+++ b/crates/filbertgrade-blocks/src/page.rs
@@ -1,5 +1,5 @@
 //! A page: the entries under one page key in encoded form, and the disjoint address ranges that
-//! they flatten to for look-ups.
+//! they flatten to for lookups.
 
 use crate::codec::{EntryReader, EntryWriter};
 use crate::entry::{PageEntry, SiteId};
--- a/crates/filbertgrade-blocks/src/partial.rs
+++ b/crates/filbertgrade-blocks/src/partial.rs
@@ -1,4 +1,4 @@
-//! A table of which only some chunks have been received, and the results of look-ups in it.
+//! A table of which only some chunks have been received, and the results of lookups in it.
 
 use std::net::IpAddr;
 
@@ -8,7 +8,7 @@
 use crate::page::Page;
 use crate::table::{BlockTable, page_of};
 
-/// The result of a look-up in a table that may be partly loaded.
+/// The result of a lookup in a table that may be partly loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
     /// The site of the longest matching prefix.
@@ -19,7 +19,7 @@
     NotLoaded,
 }
 
-/// Converts the result of a look-up in a whole table, so that it is never `NotLoaded`.
+/// Converts the result of a lookup in a whole table, so that it is never `NotLoaded`.
 impl From<Option<SiteId>> for LookupResult {
     fn from(site: Option<SiteId>) -> LookupResult {
         site.map_or(LookupResult::NoBlock, LookupResult::Site)
@@ -55,7 +55,7 @@
 pub struct DefaultOrder(pub Vec<SiteId>);
 
 impl DefaultOrder {
-    /// Returns the site that the look-up found, or else the default order with the cause.
+    /// Returns the site that the lookup found, or else the default order with the cause.
     pub fn select(&self, lookup: LookupResult) -> SiteSelection<'_> {
         let cause = match lookup {
             LookupResult::Site(site) => return SiteSelection::Site(site),
--- a/crates/filbertgrade-blocks/src/shared.rs
+++ b/crates/filbertgrade-blocks/src/shared.rs
@@ -1,4 +1,4 @@
-//! A table that can be replaced while look-ups read it.
+//! A table that can be replaced while lookups read it.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns the current table. All look-ups through the returned guard use the same version.
+    /// Returns the current table. All lookups through the returned guard use the same version.
     pub fn load(&self) -> Guard<Arc<BlockTable>> {
         self.current.load()
     }
--- a/crates/filbertgrade-blocks/src/table.rs
+++ b/crates/filbertgrade-blocks/src/table.rs
@@ -1,4 +1,4 @@
-//! The table: pages indexed by address, and look-ups in them.
+//! The table: pages indexed by address, and lookups in them.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -30,7 +30,7 @@
 /// IPv4 prefixes of 16 bits or more are stored in one page per /16, IPv6 prefixes of 32 bits or
 /// more in one page per /32. Shorter prefixes are stored in one page per address family, which is
 /// searched if the address's own page has no match. Each page is flattened to disjoint ranges, so a
-/// look-up finds the page by the leading address bits and does a binary search in it. A look-up
+/// lookup finds the page by the leading address bits and does a binary search in it. A lookup
 /// takes no lock and allocates no memory.
 #[derive(Clone, Debug)]
 pub struct BlockTable {
--- a/crates/filbertgrade-blocks/tests/cases.rs
+++ b/crates/filbertgrade-blocks/tests/cases.rs
@@ -1,7 +1,7 @@
 //! Runs the case files in `tests/cases`. Each line is one of:
 //!
 //! - `block PREFIX SITE`: an entry of the table.
-//! - `lookup ADDRESS SITE|none`: the expected result of a look-up in the table of all blocks.
+//! - `lookup ADDRESS SITE|none`: the expected result of a lookup in the table of all blocks.
 //! - `refuse PREFIX SITE`: an entry that must make the build fail if added to the blocks.
 
 use std::fs;
--- a/crates/filbertgrade-blocks/tests/copy.rs
+++ b/crates/filbertgrade-blocks/tests/copy.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Loads chunks in the given order. Before each one, checks that look-ups in the partial table give
+/// Loads chunks in the given order. Before each one, checks that lookups in the partial table give
 /// either the result of the whole table or `NotLoaded`.
 fn assemble(encoded: &EncodedTable, order: impl Iterator<Item = usize>) -> BlockTable {
     let whole = table();
@@ -81,7 +81,7 @@
         .expect("every chunk is loaded")
 }
 
-// Guards against a copy that differs from the original table, and against wrong results of look-ups
+// Guards against a copy that differs from the original table, and against wrong results of lookups
 // while only some chunks are loaded, in either order of chunks.
 #[rstest]
 #[case::forward(false)]
--- a/crates/filbertgrade-blocks/tests/table.rs
+++ b/crates/filbertgrade-blocks/tests/table.rs
@@ -1,4 +1,4 @@
-//! Compares look-ups with a linear longest prefix match, and deltas with a full rebuild.
+//! Compares lookups with a linear longest prefix match, and deltas with a full rebuild.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -16,7 +16,7 @@
 /// several heartbeat intervals, because single datagrams are lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Largest number of VMs in the response to a look-up.
+/// Largest number of VMs in the response to a lookup.
 pub const MAX_LOOKUP_VMS: usize = 64;
 
 /// Largest number of VMs that poll one VM in place of the store. A small VM has
--- a/crates/filbertgrade-coord/src/steering/settings.rs
+++ b/crates/filbertgrade-coord/src/steering/settings.rs
@@ -34,7 +34,7 @@
 pub struct Listen {
     /// For callers' requests.
     pub callers: SocketAddr,
-    /// For callers' look-ups.
+    /// For callers' lookups.
     pub lookups: SocketAddr,
     /// For the platform's readiness checks: whether the VM can serve callers.
     pub ready: SocketAddr,
@@ -59,6 +59,6 @@
     pub rate_allowance: f64,
     /// Fraction of a region's requests that may move to another region within 2 s.
     pub shift_cap: f64,
-    /// Longest time for which callers cache the response to a look-up.
+    /// Longest time for which callers cache the response to a lookup.
     pub lookup_ttl: Duration,
 }
--- a/crates/filbertgrade-coord/src/weights.rs
+++ b/crates/filbertgrade-coord/src/weights.rs
@@ -122,7 +122,7 @@
 ///
 /// A step moves at most `cap` units; with a cap of zero nothing moves. The cap
 /// also applies to traffic of a failed region. Successive steps are at least
-/// `time_to_live`, the lifetime of look-up responses, plus
+/// `time_to_live`, the lifetime of lookup responses, plus
 /// [`PROPAGATION_TIME`] apart.
 ///
 /// `last_step` is the time at which the previous step was published. An
@@ -142,7 +142,7 @@
 
 /// Like [`next_weights`], but takes the whole time between two steps.
 ///
-/// If `pause` is shorter than the lifetime of look-up responses plus the time
+/// If `pause` is shorter than the lifetime of lookup responses plus the time
 /// until a step is in force on every VM, two steps overlap, and more than `cap`
 /// units move at once.
 pub fn next_weights_with_pause(
--- a/crates/filbertgrade-coord/tests/steering/fleet.rs
+++ b/crates/filbertgrade-coord/tests/steering/fleet.rs
@@ -32,10 +32,10 @@
     addresses.iter().map(SocketAddr::port).collect()
 }
 
-/// Guards against look-ups that return VMs which are down, about to stop or not
+/// Guards against lookups that return VMs which are down, about to stop or not
 /// ready, and against empty responses.
 #[test]
-fn look_ups_return_vms_that_can_serve() {
+fn lookups_return_vms_that_can_serve() {
     let start = Instant::now();
     let (local, a, b, c) = (
         member("local", "north", 1),
--- a/crates/filbertgrade-standins/src/caller/load.rs
+++ b/crates/filbertgrade-standins/src/caller/load.rs
@@ -91,7 +91,7 @@
     pub burst: u32,
     /// Kinds of requests, at least one.
     pub mix: Vec<RequestKind>,
-    /// Client addresses of the team's callers. Each caller has look-ups and connections of its own,
+    /// Client addresses of the team's callers. Each caller has lookups and connections of its own,
     /// and each request is sent by a random caller. Default none, which means one caller with the
     /// address in [`LoadConfig::caller`].
     pub clients: Vec<IpAddr>,
--- a/crates/filbertgrade-standins/src/caller/mod.rs
+++ b/crates/filbertgrade-standins/src/caller/mod.rs
@@ -54,9 +54,9 @@
 /// How a caller selects the VM for a request.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// Tries these VMs in random order, without look-ups.
+    /// Tries these VMs in random order, without lookups.
     Vms(Vec<SocketAddr>),
-    /// Looks up the VMs for requests. When the cached look-up has expired, these VMs are queried in
+    /// Looks up the VMs for requests. When the cached lookup has expired, these VMs are queried in
     /// random order.
     Lookup(Vec<SocketAddr>),
 }
@@ -64,12 +64,12 @@
 /// Settings of a [`Caller`].
 #[derive(Clone, Debug)]
 pub struct CallerConfig {
-    /// How VMs are selected. The default is a look-up without VMs to query, with which every
+    /// How VMs are selected. The default is a lookup without VMs to query, with which every
     /// request ends as `Outcome::Lost { sent: false }`.
     pub route: Route,
     /// API key of the caller's team. Default none, for routes that need no key.
     pub key: Option<Key>,
-    /// Client address that is sent in look-ups. Default 127.0.0.1.
+    /// Client address that is sent in lookups. Default 127.0.0.1.
     pub client_ip: IpAddr,
     /// Source address of the connections. By default the system chooses it.
     pub source: Option<IpAddr>,
@@ -77,7 +77,7 @@
     pub http2: bool,
     /// Longest time to open a connection before the next VM is tried. Default 500 ms.
     pub connect_timeout: Duration,
-    /// Longest time of a look-up at one VM before the next VM is queried. Default 500 ms.
+    /// Longest time of a lookup at one VM before the next VM is queried. Default 500 ms.
     pub lookup_timeout: Duration,
     /// Time after the deadline for which the caller still waits for a response. With a value near
     /// zero, refusals that are sent at the deadline arrive too late and count as lost. Default 1 s.
@@ -176,13 +176,13 @@
 pub struct CallResult {
     /// How the request ended.
     pub outcome: Outcome,
-    /// Time from the start to the end of the call, including look-ups and connecting.
+    /// Time from the start to the end of the call, including lookups and connecting.
     pub latency: Duration,
     /// Address of the last VM that was tried, or `None` if there was no VM to try.
     pub vm: Option<SocketAddr>,
 }
 
-/// Response to a look-up.
+/// Response to a lookup.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookupResponse {
     /// Time in milliseconds for which the response may be cached.
@@ -191,7 +191,7 @@
     pub vms: Vec<LookupVm>,
 }
 
-/// One VM in a look-up response.
+/// One VM in a lookup response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookupVm {
     /// Name of the VM.
@@ -202,7 +202,7 @@
     pub region: String,
 }
 
-/// A caller with its connections and its cached look-up. Clones share both.
+/// A caller with its connections and its cached lookup. Clones share both.
 #[derive(Clone, Debug)]
 pub struct Caller {
     shared: Arc<Shared>,
@@ -213,7 +213,7 @@
     cfg: CallerConfig,
     pool: Pool,
     rng: Mutex<StdRng>,
-    /// Cached look-up and its expiry time. The lock is held during a look-up, so that concurrent
+    /// Cached lookup and its expiry time. The lock is held during a lookup, so that concurrent
     /// calls share one.
     lookup: tokio::sync::Mutex<Option<(Instant, LookupResponse)>>,
 }
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Returns the cached look-up if it has not expired; otherwise queries the VMs in random order.
-    /// If none of them responds, returns the expired look-up, or `None` if there is none. Also
+    /// Returns the cached lookup if it has not expired; otherwise queries the VMs in random order.
+    /// If none of them responds, returns the expired lookup, or `None` if there is none. Also
     /// returns `None` for [`Route::Vms`].
     pub async fn lookup(&self) -> Option<LookupResponse> {
         let Route::Lookup(vms) = &self.shared.cfg.route else {
@@ -273,7 +273,7 @@
         cached.as_ref().map(|(_, response)| response.clone())
     }
 
-    /// Closes the idle connections and discards the cached look-up.
+    /// Closes the idle connections and discards the cached lookup.
     pub async fn reset(&self) {
         self.shared.pool.clear();
         *self.shared.lookup.lock().await = None;
@@ -334,7 +334,7 @@
         vms
     }
 
-    /// Queries one VM for a look-up. Returns `None` if there is no valid response.
+    /// Queries one VM for a lookup. Returns `None` if there is no valid response.
     async fn query_lookup(&self, vm: SocketAddr) -> Option<LookupResponse> {
         let path = format!("/v1/lookup?client={}", self.shared.cfg.client_ip);
         let req = Request::get(self.uri(vm, &path)).header(HOST, vm.to_string());
--- a/crates/filbertgrade-standins/src/soak/client.rs
+++ b/crates/filbertgrade-standins/src/soak/client.rs
@@ -13,7 +13,7 @@
 /// Time after which a caller gives up on a request. It is sent as the deadline of the request.
 pub(super) const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Timeout for opening a connection, and for a whole look-up.
+/// Timeout for opening a connection, and for a whole lookup.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An open connection to a VM.
@@ -117,7 +117,7 @@
     }
 }
 
-/// Queries the look-up listener of a VM for the addresses that callers of a region should connect
+/// Queries the lookup listener of a VM for the addresses that callers of a region should connect
 /// to.
 pub(super) async fn look_up(address: SocketAddr, region: &str) -> io::Result<Vec<SocketAddr>> {
     let exchange = async {
--- a/crates/filbertgrade-standins/src/soak/mod.rs
+++ b/crates/filbertgrade-standins/src/soak/mod.rs
@@ -61,7 +61,7 @@
 /// than the fault-free time at the end of the plan, so that the fleet has time to recover.
 const RECOVERY_WINDOW: Duration = Duration::from_secs(4);
 
-/// Time within which all VMs must respond to look-ups.
+/// Time within which all VMs must respond to lookups.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Teams with their limits. Each team sends half of the requests, and the second one exceeds its
@@ -240,7 +240,7 @@
     after_key.split(' ').next()?.parse().ok()
 }
 
-/// Waits until every VM names an address in response to a look-up.
+/// Waits until every VM names an address in response to a lookup.
 async fn wait_until_ready(vms: &[Vm]) -> io::Result<()> {
     let started_at = Instant::now();
     for vm in vms {
@@ -250,7 +250,7 @@
                 break;
             }
             if started_at.elapsed() > START_TIMEOUT {
-                let text = format!("{} did not respond to look-ups in time", vm.name);
+                let text = format!("{} did not respond to lookups in time", vm.name);
                 return Err(io::Error::other(text));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -302,7 +302,7 @@
                 };
                 match Connection::open(vm).await {
                     Ok(connection) => connection,
-                    // The VM may be down; a later look-up returns another one.
+                    // The VM may be down; a later lookup returns another one.
                     Err(_) => continue,
                 }
             }
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -1,4 +1,4 @@
-//! Tests of the caller stand-in: outcomes of calls, look-ups, the load generator and the comparison
+//! Tests of the caller stand-in: outcomes of calls, lookups, the load generator and the comparison
 //! with the records of the backend servers.
 
 mod support;
@@ -165,8 +165,8 @@
     assert_eq!((result.outcome, result.vm), (outcome, Some(addr)));
 }
 
-/// Guards against a look-up for every request, look-ups that never expire, and callers that give up
-/// at the first unreachable VM of a look-up or at the first unreachable VM to query.
+/// Guards against a lookup for every request, lookups that never expire, and callers that give up
+/// at the first unreachable VM of a lookup or at the first unreachable VM to query.
 #[tokio::test]
 async fn lookups_expire_and_unreachable_vms_are_skipped() {
     let server = start_backend(1).await;
--- a/crates/filbertgrade/examples/lookups.rs
+++ b/crates/filbertgrade/examples/lookups.rs
@@ -1,4 +1,4 @@
-//! Measures look-ups per second on one core, from a client address to the chosen VMs and to the
+//! Measures lookups per second on one core, from a client address to the chosen VMs and to the
 //! encoded JSON response.
 //!
 //! `cargo run --release -p filbertgrade --example lookups [blocks]`
@@ -15,7 +15,7 @@
 use filbertgrade::version::{CONFIG_ROOT, ConfigRoot, InForce};
 use filbertgrade_coord::versioned::{Entry, Snapshot, VersionedMap};
 
-/// Number of look-ups in one timed pass.
+/// Number of lookups in one timed pass.
 const LOOKUPS: u32 = 1_000_000;
 
 fn main() {
--- a/crates/filbertgrade/examples/lookups_at_scale.rs
+++ b/crates/filbertgrade/examples/lookups_at_scale.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of a look-up in one entry for growing numbers of VMs and
+//! Measures the cost of a lookup in one entry for growing numbers of VMs and
 //! client blocks, and prints one JSON object.
 //!
 //! ```text
@@ -10,9 +10,9 @@
 //! One entry and its agent run as processes of the `filbertgrade` binary; the
 //! platform stand-in and the callers run in this process. There are
 //! [`CALLERS`] callers, each with one connection and one request at a time.
-//! The cost is the entry's processor time divided by the number of look-ups,
+//! The cost is the entry's processor time divided by the number of lookups,
 //! because that depends less on other load of the machine than the number of
-//! look-ups per second.
+//! lookups per second.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -220,7 +220,7 @@
     platform.put("config/root", root.to_string());
 }
 
-/// Waits until look-ups return VMs of the configuration.
+/// Waits until lookups return VMs of the configuration.
 async fn wait_until_in_force(target: SocketAddr) -> Result<()> {
     let started = Instant::now();
     while started.elapsed() < START_LIMIT {
@@ -235,7 +235,7 @@
     bail!("the entry has no configuration in force")
 }
 
-/// Sends look-ups one after another for `seconds` and returns their latencies. `n` is the index of
+/// Sends lookups one after another for `seconds` and returns their latencies. `n` is the index of
 /// the caller.
 async fn run_caller(
     target: SocketAddr,
@@ -268,7 +268,7 @@
     Ok(sender)
 }
 
-/// Sends one look-up and returns the body of the response.
+/// Sends one lookup and returns the body of the response.
 async fn look_up(sender: &mut SendRequest<Empty<Bytes>>, client: &str) -> Result<Bytes> {
     let req = Request::get(format!("/v1/lookup?client={client}"))
         .header("host", "scale")
@@ -276,7 +276,7 @@
     sender.ready().await?;
     let response = sender.send_request(req).await?;
     if !response.status().is_success() {
-        bail!("look-up failed with status {}", response.status());
+        bail!("lookup failed with status {}", response.status());
     }
     Ok(response.into_body().collect().await?.to_bytes())
 }
--- a/crates/filbertgrade/src/lib.rs
+++ b/crates/filbertgrade/src/lib.rs
@@ -1,9 +1,9 @@
-//! Global traffic steering: look-ups, admission and routing between callers
+//! Global traffic steering: lookups, admission and routing between callers
 //! and backend servers.
 //!
 //! Every VM of a deployment runs two processes of this crate's one binary:
 //!
-//! * the *entry* answers callers' look-ups and forwards their requests to
+//! * the *entry* answers callers' lookups and forwards their requests to
 //!   backend servers;
 //! * the *agent* watches the platform's object API, exchanges state with the
 //!   agents of other VMs and sends updates to the entry of its own VM.
--- a/crates/filbertgrade/src/process/command/dev/mod.rs
+++ b/crates/filbertgrade/src/process/command/dev/mod.rs
@@ -173,7 +173,7 @@
 }
 
 /// Sends the traffic through the deployment, where callers choose a VM by
-/// look-up.
+/// lookup.
 fn run_load(
     deployment: &Deployment,
     teams: Vec<TeamLoad>,
--- a/crates/filbertgrade/src/process/command/flags.rs
+++ b/crates/filbertgrade/src/process/command/flags.rs
@@ -14,7 +14,7 @@
 xflags::xflags! {
     /// Global traffic steering.
     cmd filbertgrade {
-        /// Runs the entry of a VM, which answers look-ups and forwards requests.
+        /// Runs the entry of a VM, which answers lookups and forwards requests.
         cmd entry {
             /// Name of the VM.
             optional --vm vm: String
@@ -26,7 +26,7 @@
             optional --failure-domain failure_domain: String
             /// Address of the platform's object API.
             optional --store store: String
-            /// Port for look-ups and requests of callers.
+            /// Port for lookups and requests of callers.
             optional --caller-port port: String
             /// Port for links between entries.
             optional --entry-peer-port port: String
@@ -49,7 +49,7 @@
             optional --failure-domain failure_domain: String
             /// Address of the platform's object API.
             optional --store store: String
-            /// Port for look-ups and requests of callers.
+            /// Port for lookups and requests of callers.
             optional --caller-port port: String
             /// Port for links between entries.
             optional --entry-peer-port port: String
--- a/crates/filbertgrade/src/process/node/callers.rs
+++ b/crates/filbertgrade/src/process/node/callers.rs
@@ -1,4 +1,4 @@
-//! The ports for callers, on which the node serves requests and look-ups and
+//! The ports for callers, on which the node serves requests and lookups and
 //! reports whether it is ready.
 
 use std::convert::Infallible;
@@ -25,7 +25,7 @@
 /// memory, and a VM has a few thousand file descriptors.
 const MAX_CONNECTIONS: usize = 2_000;
 
-/// Time in which the head of a look-up or readiness request must arrive.
+/// Time in which the head of a lookup or readiness request must arrive.
 const LOOKUP_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A connection is kept open this much longer than the idle timeout, since the
@@ -35,7 +35,7 @@
 /// Upper bound in bytes for the head of a request, whatever limit is configured.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Time to live of the response to a look-up, unless the settings have a
+/// Time to live of the response to a lookup, unless the settings have a
 /// shorter one. Some callers keep the response for three times as long, which a
 /// stopping VM takes into account.
 pub(super) const LOOKUP_TTL: Duration = Duration::from_secs(1);
@@ -126,7 +126,7 @@
     Ok(response)
 }
 
-/// Serves look-ups of callers, and the platform's requests for the readiness of
+/// Serves lookups of callers, and the platform's requests for the readiness of
 /// this VM.
 pub(super) async fn serve_lookups(node: Arc<Node>, listener: TcpListener) {
     loop {
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -1,6 +1,6 @@
 //! The node: one process on each VM of a platform that has a store.
 //!
-//! It answers look-ups, forwards requests to backend servers, and keeps a local
+//! It answers lookups, forwards requests to backend servers, and keeps a local
 //! copy of the store. Its decisions are made in
 //! [`filbertgrade_coord::steering`]; the platform's names and formats are in
 //! [`filbertgrade_platform`].
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -15,7 +15,7 @@
 use crate::sync::lock;
 
 /// How long a VM still accepts connections after it received the signal to
-/// stop. Some callers keep the answer to a look-up for three times its time to
+/// stop. Some callers keep the answer to a lookup for three times its time to
 /// live.
 const ACCEPT_GRACE: Duration = LOOKUP_TTL.saturating_mul(3);
 
--- a/crates/filbertgrade/src/process/settings.rs
+++ b/crates/filbertgrade/src/process/settings.rs
@@ -28,7 +28,7 @@
 /// Ports of the processes of a VM, the same on every VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ports {
-    /// The entry's port for look-ups and requests of callers. Default 7080.
+    /// The entry's port for lookups and requests of callers. Default 7080.
     pub caller: u16,
     /// The entry's port for links with other entries. Default 7081.
     pub entry_peer: u16,
--- a/crates/filbertgrade/tests/node/cluster.rs
+++ b/crates/filbertgrade/tests/node/cluster.rs
@@ -22,7 +22,7 @@
 /// API key of the team `atelier`.
 pub(crate) const KEY: &str = "key-of-atelier";
 
-/// Ports of every node for callers, look-ups, readiness, peers and metrics. All
+/// Ports of every node for callers, lookups, readiness, peers and metrics. All
 /// nodes use the same ports, each on its own loopback address.
 const PORTS: [u16; 5] = [8_000, 8_001, 8_002, 8_003, 8_004];
 
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Addresses for callers that a look-up at this node returns.
+    /// Addresses for callers that a lookup at this node returns.
     pub(crate) async fn look_up(&self) -> Vec<String> {
         let head = "GET /-/resolve?name=a&region=north&zone=north-a HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
         let response = exchange(self.lookups, head).await.unwrap();
--- a/crates/filbertgrade/tests/node/fleet.rs
+++ b/crates/filbertgrade/tests/node/fleet.rs
@@ -5,19 +5,19 @@
 use crate::cluster::{Node, TestCluster, eventually};
 use filbertgrade_standins::node::store::StoreFault;
 
-/// Guards against nodes that do not discover each other, and against look-ups
+/// Guards against nodes that do not discover each other, and against lookups
 /// that name a killed node for too long.
 #[tokio::test]
-async fn look_ups_stop_naming_a_killed_node() {
+async fn lookups_stop_naming_a_killed_node() {
     let mut cluster = TestCluster::with_nodes(&[1], 3).await;
-    eventually("the look-up names all nodes", || async {
+    eventually("the lookup names all nodes", || async {
         cluster.nodes[0].look_up().await.len() == 3
     })
     .await;
     let killed = cluster.nodes.pop().unwrap();
     killed.signal(rustix::process::Signal::KILL);
     let address = killed.callers.to_string();
-    let elapsed = eventually("the look-up no longer names the killed node", || async {
+    let elapsed = eventually("the lookup no longer names the killed node", || async {
         !cluster.nodes[0].look_up().await.contains(&address)
     })
     .await;
@@ -29,7 +29,7 @@
 #[tokio::test]
 async fn one_node_follows_the_store_for_its_region() {
     let mut cluster = TestCluster::with_nodes(&[1], 4).await;
-    eventually("the look-up names all nodes", || async {
+    eventually("the lookup names all nodes", || async {
         cluster.nodes[0].look_up().await.len() == 4
     })
     .await;
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn simultaneous_start_makes_few_store_calls() {
     let cluster = TestCluster::with_nodes(&[1], 8).await;
-    eventually("the look-up names all nodes", || async {
+    eventually("the lookup names all nodes", || async {
         cluster.nodes[7].look_up().await.len() == 8
     })
     .await;
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn nodes_receive_changes_after_their_relay_is_killed() {
     let mut cluster = TestCluster::with_nodes(&[1], 3).await;
-    eventually("the look-up names all nodes", || async {
+    eventually("the lookup names all nodes", || async {
         cluster.nodes[0].look_up().await.len() == 3
     })
     .await;
@@ -116,7 +116,7 @@
 #[tokio::test]
 async fn node_that_fell_behind_receives_only_the_newest_version() {
     let mut cluster = TestCluster::with_nodes(&[1], 3).await;
-    eventually("the look-up names all nodes", || async {
+    eventually("the lookup names all nodes", || async {
         cluster.nodes[0].look_up().await.len() == 3
     })
     .await;
--- a/crates/filbertgrade/tests/node/stop.rs
+++ b/crates/filbertgrade/tests/node/stop.rs
@@ -5,11 +5,11 @@
 use crate::cluster::{KEY, TestCluster, eventually};
 
 /// Guards against a graceful stop that cuts running requests, and against
-/// look-ups that still name the stopping node.
+/// lookups that still name the stopping node.
 #[tokio::test]
 async fn graceful_stop_completes_running_requests() {
     let mut cluster = TestCluster::with_nodes(&[800], 2).await;
-    eventually("the look-up names both nodes", || async {
+    eventually("the lookup names both nodes", || async {
         cluster.nodes[1].look_up().await.len() == 2
     })
     .await;
@@ -28,7 +28,7 @@
     assert!(!stopping.is_ready().await);
     let address = stopping.callers.to_string();
     assert!(!cluster.nodes[0].look_up().await.contains(&address));
-    // Callers with an older look-up may still connect to it for a while.
+    // Callers with an older lookup may still connect to it for a while.
     let late = stopping.request("GET", "safe", "a2", Some(KEY)).await;
     assert_eq!(late.status, 200);
     let waiting_since = std::time::Instant::now();
