--- a/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/endpoint_state.rs
@@ -174,7 +174,7 @@
         now: Instant,
     ) -> Option<Duration> {
         match outcome {
-            Outcome::Answered { latency, failed } => {
+            Outcome::Responded { latency, failed } => {
                 self.ejection = None;
                 self.record_failure(failed, now);
                 self.record_latency(target, latency, now);
--- a/crates/filbertgrade-coord/src/steering/balancer/mod.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/mod.rs
@@ -275,7 +275,7 @@
         now: Instant,
     ) -> Option<Duration> {
         let service = self.services.get_mut(&target.service)?;
-        if let Outcome::Answered {
+        if let Outcome::Responded {
             latency,
             failed: false,
         } = outcome
--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// The endpoint responded.
-    Answered {
+    Responded {
         /// Time from sending the request to the response.
         latency: Duration,
         /// The response is a server error.
--- a/crates/filbertgrade-coord/tests/steering/balancer.rs
+++ b/crates/filbertgrade-coord/tests/steering/balancer.rs
@@ -23,7 +23,7 @@
 }
 
 fn answered(latency_ms: u64) -> Outcome {
-    Outcome::Answered {
+    Outcome::Responded {
         latency: Duration::from_millis(latency_ms),
         failed: false,
     }
@@ -111,7 +111,7 @@
         restricted.allowed_regions = [&south, &[]];
         let mut send = |req: &PickRequest<'_>| match balancer.pick(req, now) {
             Pick::Send(target) => {
-                let outcome = Outcome::Answered {
+                let outcome = Outcome::Responded {
                     latency: Duration::from_millis(200),
                     failed: false,
                 };
@@ -233,7 +233,7 @@
 #[rstest]
 #[case::refuses(Outcome::Refused)]
 #[case::loses_connection(Outcome::ConnectionLost)]
-#[case::answers_with_an_error(Outcome::Answered { latency: Duration::from_millis(50), failed: true })]
+#[case::responds_with_an_error(Outcome::Responded { latency: Duration::from_millis(50), failed: true })]
 fn failing_endpoint_receives_few_requests(#[case] outcome: Outcome) {
     let now = Instant::now();
     let list = [endpoint("one", "north", 3), endpoint("two", "north", 3)];
--- a/crates/filbertgrade-coord/tests/steering/load.rs
+++ b/crates/filbertgrade-coord/tests/steering/load.rs
@@ -296,7 +296,7 @@
             requests: u32::try_from(endpoint.running + endpoint.queue.len()).unwrap(),
             slots: u32::try_from(self.load.slots).unwrap(),
         };
-        let outcome = Outcome::Answered {
+        let outcome = Outcome::Responded {
             latency,
             failed: false,
         };
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -10,7 +10,7 @@
 use crate::connection::traffic;
 use crate::version::{OutgoingDeltas, VmRecord, VmState};
 use crate::wire::{
-    Body, EntryReport, Feed, FeedRequest, Pull, PullReply, RegionEvidence, StatusReply,
+    Body, EntryReport, Feed, FeedRequest, PullReply, PullRequest, RegionEvidence, StatusReply,
 };
 
 /// Time after the last report from which the entry is considered stopped, so
@@ -38,7 +38,7 @@
             record_report(&agent, report);
             None
         }
-        Body::Pull(pull) => {
+        Body::PullRequest(pull) => {
             record_puller(&agent, peer.ip(), &pull);
             Some(Body::PullReply(pull_reply(&agent, &pull)))
         }
@@ -97,7 +97,7 @@
 
 /// Remembers which VMs pull while this agent has no VM list. A VM that restarts
 /// without state during an outage of the store gets the state from these peers.
-fn record_puller(agent: &Agent, address: IpAddr, pull: &Pull) {
+fn record_puller(agent: &Agent, address: IpAddr, pull: &PullRequest) {
     if !agent.state().vms.is_empty() {
         return;
     }
@@ -124,7 +124,7 @@
 }
 
 /// The reply to a pull: the changes that the peer lacks, and the evidence.
-fn pull_reply(agent: &Agent, pull: &Pull) -> PullReply {
+fn pull_reply(agent: &Agent, pull: &PullRequest) -> PullReply {
     let state = agent.state();
     let now = Instant::now();
     let held = state.objects.revision();
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -13,7 +13,7 @@
 use crate::connection::PeerLink;
 use crate::logfmt;
 use crate::version::{IncomingDelta, VmRecord, apply_delta};
-use crate::wire::{Body, Delta, Pull, PullReply};
+use crate::wire::{Body, Delta, PullReply, PullRequest};
 
 /// Time between two rounds.
 const PULL_INTERVAL: Duration = Duration::from_millis(250);
@@ -92,7 +92,7 @@
     let mut transfer = None;
     loop {
         let sent_at = Instant::now();
-        let pull = Pull {
+        let pull = PullRequest {
             vm: agent.settings.vm.to_string(),
             revision: *agent.revision.borrow(),
             resume: incoming.next_page_request(),
@@ -101,7 +101,7 @@
             newest_confirmation_only: !all_regions,
             one_page_only: transfer.is_none() && agent.incoming_transfer.try_lock().is_err(),
         };
-        match link.call(Body::Pull(pull), PULL_TIMEOUT).await {
+        match link.call(Body::PullRequest(pull), PULL_TIMEOUT).await {
             Ok(Body::PullReply(reply)) => apply_reply(&agent, &mut incoming, reply, &peer, sent_at),
             Ok(_) => {
                 log::warn!("event=pull_misanswered peer={}", peer.name);
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -426,7 +426,7 @@
                 }
                 _ => RegionReply::OwnerUnavailable,
             },
-            Body::Denied(denied) => match denied.cause() {
+            Body::SlotDenied(denied) => match denied.cause() {
                 DeniedCause::Busy => RegionReply::Busy,
                 DeniedCause::NoEndpoint => RegionReply::NoEndpoint,
                 DeniedCause::NotOwner | DeniedCause::Unknown | DeniedCause::Unspecified => {
@@ -609,7 +609,7 @@
 }
 
 fn denied(cause: DeniedCause) -> Body {
-    Body::Denied(wire::Denied {
+    Body::SlotDenied(wire::SlotDenied {
         cause: cause.into(),
     })
 }
--- a/crates/filbertgrade/src/process/node/attempt.rs
+++ b/crates/filbertgrade/src/process/node/attempt.rs
@@ -259,7 +259,7 @@
     ) -> bool {
         let failed = parts.status.is_server_error();
         let latency = self.latency();
-        self.end(Outcome::Answered { latency, failed }, head.load);
+        self.end(Outcome::Responded { latency, failed }, head.load);
         if failed {
             self.log(call, "failed_answer", Some(parts.status));
         }
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -40,8 +40,8 @@
     EntryReport(EntryReport),
     /// Agent to agent: requests newer state.
     #[prost(message, tag = "5")]
-    Pull(Pull),
-    /// Reply to [`Pull`].
+    PullRequest(PullRequest),
+    /// Reply to [`PullRequest`].
     #[prost(message, tag = "6")]
     PullReply(PullReply),
     /// To an agent: requests the state of the agent and its entry.
@@ -73,7 +73,7 @@
     Permit(Permit),
     /// Reply to [`AcquireSlot`] and [`RenewPermit`] that denies the slot.
     #[prost(message, tag = "16")]
-    Denied(Denied),
+    SlotDenied(SlotDenied),
     /// Entry to entry: extends a permit.
     #[prost(message, tag = "17")]
     RenewPermit(RenewPermit),
@@ -186,7 +186,7 @@
 
 /// Request to a peer agent for newer state.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pull {
+pub struct PullRequest {
     /// Name of the requesting VM.
     #[prost(string, tag = "1")]
     pub vm: String,
@@ -239,7 +239,7 @@
     pub store_answered_age_ms: Option<u32>,
 }
 
-/// Reply to [`Pull`].
+/// Reply to [`PullRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PullReply {
     /// Changes after the revision of the request; `None` when there are none.
@@ -435,7 +435,7 @@
 
 /// Reply that denies a slot.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Denied {
+pub struct SlotDenied {
     /// Why no slot was granted.
     #[prost(enumeration = "DeniedCause", tag = "1")]
     pub cause: i32,
--- a/crates/filbertgrade/tests/agents/scale.rs
+++ b/crates/filbertgrade/tests/agents/scale.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use filbertgrade::connection::PeerLink;
-use filbertgrade::wire::{Body, Pull, PullReply};
+use filbertgrade::wire::{Body, PullReply, PullRequest};
 use filbertgrade_standins::platform::VmEntry;
 use prost::Message;
 
@@ -61,14 +61,15 @@
     let started = Instant::now();
     loop {
         let revision = fleet.platform.revision();
-        let pull = Pull {
+        let pull = PullRequest {
             vm: "requester".to_owned(),
             revision,
             newest_confirmation_only,
-            ..Pull::default()
+            ..PullRequest::default()
         };
-        if let Ok(Body::PullReply(reply)) =
-            link.call(Body::Pull(pull), Duration::from_secs(1)).await
+        if let Ok(Body::PullReply(reply)) = link
+            .call(Body::PullRequest(pull), Duration::from_secs(1))
+            .await
             && reply.revision >= revision
             && reply.delta.is_none()
             && reply
