--- a/crates/filbertgrade-coord/src/freshness.rs
+++ b/crates/filbertgrade-coord/src/freshness.rs
@@ -43,7 +43,7 @@
     /// from a store replica that is behind does not replace it.
     confirmed: Option<(u64, Instant)>,
     /// When the store last responded to an agent of the region, with any revision.
-    store_answered: Option<Instant>,
+    store_responded: Option<Instant>,
     /// The newest instant at which any agent of the region is known to have
     /// been running.
     last_received: Option<Instant>,
@@ -61,7 +61,7 @@
     pub confirmed: Option<(Duration, u64)>,
     /// Age of the newest response of the store with any revision, or `None` if no
     /// agent of the region is known to have received one.
-    pub store_answered: Option<Duration>,
+    pub store_responded: Option<Duration>,
     /// Time since any agent of the region was last known to run, or `None` if no
     /// message from the region is known.
     pub last_received: Option<Duration>,
@@ -147,7 +147,7 @@
             &region,
             Evidence {
                 confirmed: Some((revision, sent_at)),
-                store_answered: Some(sent_at),
+                store_responded: Some(sent_at),
                 last_received: Some(sent_at),
                 revision,
             },
@@ -162,7 +162,7 @@
             region,
             Evidence {
                 confirmed: None,
-                store_answered: None,
+                store_responded: None,
                 last_received: Some(sent_at),
                 revision,
             },
@@ -194,13 +194,13 @@
             let confirmed = age
                 .confirmed
                 .and_then(|(a, revision)| Some((revision, sent_at.checked_sub(a)?)));
-            let store_answered = age.store_answered.and_then(|a| sent_at.checked_sub(a));
+            let store_responded = age.store_responded.and_then(|a| sent_at.checked_sub(a));
             let last_received = age.last_received.and_then(|a| sent_at.checked_sub(a));
             self.merge_evidence(
                 &age.region,
                 Evidence {
                     confirmed,
-                    store_answered,
+                    store_responded,
                     last_received,
                     revision: age.revision,
                 },
@@ -240,7 +240,7 @@
                     .confirmed
                     .filter(|&(revision, _)| revision <= held)
                     .map(|(revision, at)| (age(at), revision)),
-                store_answered: evidence.store_answered.map(age),
+                store_responded: evidence.store_responded.map(age),
                 last_received: evidence.last_received.map(age),
                 revision: evidence.revision,
             })
@@ -289,12 +289,12 @@
         // the maximum age (625 ms of 5 s) covers two responses of an agent to its
         // entry, which are 250 ms apart.
         let outage_after = self.max_age - self.max_age / 8;
-        let answered_recently = |at: Instant| now.saturating_duration_since(at) <= outage_after;
+        let responded_recently = |at: Instant| now.saturating_duration_since(at) <= outage_after;
         if held == 0 {
             return Err(IsolationCause::Empty);
         }
-        let store_answered = self.regions.values().filter_map(|e| e.store_answered);
-        if store_answered.max().is_some_and(answered_recently)
+        let store_responded = self.regions.values().filter_map(|e| e.store_responded);
+        if store_responded.max().is_some_and(responded_recently)
             || self.regions.values().any(|e| e.revision > held)
         {
             return Err(IsolationCause::Behind);
@@ -347,7 +347,7 @@
     fn merge_evidence(&mut self, region: &RegionName, new: Evidence) {
         let evidence = self.regions.entry(region.clone()).or_default();
         evidence.confirmed = evidence.confirmed.max(new.confirmed);
-        evidence.store_answered = evidence.store_answered.max(new.store_answered);
+        evidence.store_responded = evidence.store_responded.max(new.store_responded);
         evidence.last_received = evidence.last_received.max(new.last_received);
         evidence.revision = evidence.revision.max(new.revision);
     }
--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -26,7 +26,7 @@
     pub tried: &'a [EndpointKey],
     /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Latency within which the route wants a response.
+    /// Latency that the route's responses are to stay within.
     pub target_latency: Duration,
     /// Time until the caller's deadline.
     pub time_left: Duration,
--- a/crates/filbertgrade-coord/tests/state.rs
+++ b/crates/filbertgrade-coord/tests/state.rs
@@ -214,7 +214,7 @@
 
 // Guards against requests that are refused while newer state is being fetched,
 // against state that is regarded as valid without evidence, and against a network
-// cut that is mistaken for an outage of the store.
+// partition that is mistaken for an outage of the store.
 #[test]
 fn freshness_needs_a_confirmation_of_the_held_revision_or_a_store_outage() {
     let start = Instant::now();
--- a/crates/filbertgrade-coord/tests/steering/balancer.rs
+++ b/crates/filbertgrade-coord/tests/steering/balancer.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn answered(latency_ms: u64) -> Outcome {
+fn responded(latency_ms: u64) -> Outcome {
     Outcome::Responded {
         latency: Duration::from_millis(latency_ms),
         failed: false,
@@ -57,7 +57,7 @@
     for n in 0..40_u64 {
         let object = n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let target = send(&mut balancer, object, now);
-        balancer.finish(&target, object, answered(200), None, now);
+        balancer.finish(&target, object, responded(200), None, now);
         *counts.entry(target.key).or_default() += 1;
     }
     let most = counts.values().max().unwrap();
@@ -183,7 +183,7 @@
 }
 
 /// Guards against queues in which every request misses its deadline. A request
-/// that cannot be answered in time is refused with a delay for the retry.
+/// that cannot be served in time is refused with a delay for the retry.
 #[test]
 fn requests_that_cannot_meet_their_deadline_are_refused() {
     let now = Instant::now();
@@ -222,7 +222,7 @@
         if target.key == first.key {
             probes += 1;
         } else {
-            balancer.finish(&target, object, answered(200), None, later);
+            balancer.finish(&target, object, responded(200), None, later);
         }
     }
     assert_eq!(probes, 1, "one probe at a time");
@@ -253,7 +253,7 @@
         };
         let is_failing = target.key == failing.key;
         to_failing += u32::from(is_failing);
-        let result = if is_failing { outcome } else { answered(200) };
+        let result = if is_failing { outcome } else { responded(200) };
         balancer.finish(&target, 3, result, None, time);
     }
     assert!(
@@ -279,7 +279,7 @@
         for step in 0..300 {
             let now = start + Duration::from_millis(10 * step);
             if let Pick::Send(target) = balancer.pick(&pick_request(&service(), step), now) {
-                balancer.finish(&target, step, answered(100), None, now);
+                balancer.finish(&target, step, responded(100), None, now);
                 sent.push(now);
             }
         }
@@ -310,19 +310,19 @@
         confirmed: true,
     });
     balancer.apply_affinities(affinities.collect(), now);
-    let mut left = 0;
+    let mut spilled = 0;
     let mut refused = 0;
     for n in 0..100 {
         balancer.count_request(&service, 1, now);
         match balancer.pick(&pick_request(&service, n % 40), now) {
-            Pick::Send(target) if target.region != region("north") => left += 1,
+            Pick::Send(target) if target.region != region("north") => spilled += 1,
             Pick::Send(_) => {}
             Pick::Refuse(_) => refused += 1,
         }
     }
     assert!(
-        left <= 15,
-        "{left} of 100 left their region, {refused} were refused"
+        spilled <= 15,
+        "{spilled} of 100 left their region, {refused} were refused"
     );
 }
 
@@ -338,7 +338,7 @@
         requests: 12,
         slots: 3,
     };
-    balancer.finish(&busy, 5, answered(100), Some(report), now);
+    balancer.finish(&busy, 5, responded(100), Some(report), now);
     for object in 1_000..1_004 {
         assert_ne!(send(&mut balancer, object, now).key, busy.key);
     }
--- a/crates/filbertgrade-standins/src/backend.rs
+++ b/crates/filbertgrade-standins/src/backend.rs
@@ -51,8 +51,8 @@
 /// Largest size in bytes of each data frame of a response body.
 const MAX_FRAME_BYTES: usize = 16 * 1024;
 
-/// Delay before a response is cut, so that the bytes before the cut reach the caller.
-const DELAY_BEFORE_CUT: Duration = Duration::from_millis(10);
+/// Delay before a response is truncated, so that the bytes before that point reach the caller.
+const DELAY_BEFORE_TRUNCATION: Duration = Duration::from_millis(10);
 
 /// Age up to which load samples are kept, and so the largest load lag that can be simulated.
 const LOAD_HISTORY: Duration = Duration::from_secs(60);
@@ -291,12 +291,12 @@
         }
     }
 
-    /// Cuts the next `responses` responses after `bytes` bytes of their body. Responses that are
+    /// Truncates the next `responses` responses after `bytes` bytes of their body. Responses that are
     /// not longer than this are sent complete, but also count towards `responses`.
-    pub fn cut_next_responses(&self, responses: u64, bytes: usize) {
+    pub fn truncate_next_responses(&self, responses: u64, bytes: usize) {
         let mut state = self.shared.state();
-        state.remaining_cuts = responses;
-        state.cut_after_bytes = bytes;
+        state.remaining_truncations = responses;
+        state.truncate_after_bytes = bytes;
     }
 
     /// Delays every response by `delay`. The slot stays busy during the delay.
@@ -374,10 +374,10 @@
     load_override: Option<f64>,
     load_lag: Duration,
     response_delay: Duration,
-    /// Responses still to be cut.
-    remaining_cuts: u64,
-    /// Length in bytes at which responses are cut.
-    cut_after_bytes: usize,
+    /// Responses still to be truncated.
+    remaining_truncations: u64,
+    /// Length in bytes at which responses are truncated.
+    truncate_after_bytes: usize,
     /// Requests still to run without a response.
     remaining_withheld: u64,
     /// Requests whose connection is still to be closed before their body is read.
@@ -398,8 +398,8 @@
             load_override: None,
             load_lag: Duration::ZERO,
             response_delay: Duration::ZERO,
-            remaining_cuts: 0,
-            cut_after_bytes: 0,
+            remaining_truncations: 0,
+            truncate_after_bytes: 0,
             remaining_withheld: 0,
             remaining_closed_unread: 0,
         }
@@ -732,7 +732,7 @@
     let body = ResponseBody::new(
         ResponseBytes::new(&request_id, &body_digest),
         parts.uri.query(),
-        take_cut_point(shared),
+        take_truncation_point(shared),
         slot,
     );
     let mut response = Response::new(body);
@@ -786,10 +786,10 @@
         || has_key(parts.uri.to_string().as_bytes())
 }
 
-/// Returns the offset at which the next response is to be cut, if any.
-fn take_cut_point(shared: &Shared) -> Option<usize> {
+/// Returns the offset at which the next response is to be truncated, if any.
+fn take_truncation_point(shared: &Shared) -> Option<usize> {
     let mut state = shared.state();
-    consume_one(&mut state.remaining_cuts).then_some(state.cut_after_bytes)
+    consume_one(&mut state.remaining_truncations).then_some(state.truncate_after_bytes)
 }
 
 /// Returns the digest and the size in bytes of the complete body, or `None` if the body ended with
@@ -835,10 +835,10 @@
     }
 }
 
-/// The response body was cut by an injected fault.
+/// The response body was truncated by an injected fault.
 #[derive(Debug, thiserror::Error)]
-#[error("the response body was cut by an injected fault")]
-struct ResponseCut;
+#[error("the response body was truncated by an injected fault")]
+struct TruncatedError;
 
 /// Response body that is generated frame by frame.
 struct ResponseBody {
@@ -848,7 +848,7 @@
     /// Size of the complete body in bytes.
     size: usize,
     /// Offset in bytes at which the body fails. Always below `size`.
-    cut_at: Option<usize>,
+    truncate_at: Option<usize>,
     /// Whether the response has a `content-length` header.
     send_content_length: bool,
     /// Delay before each frame.
@@ -871,7 +871,7 @@
             sent: 0,
             size: text.len(),
             source: BodySource::Text(text),
-            cut_at: None,
+            truncate_at: None,
             send_content_length: true,
             frame_delay: None,
             pending_delay: None,
@@ -882,7 +882,7 @@
     fn new(
         bytes: ResponseBytes,
         query: Option<&str>,
-        cut_at: Option<usize>,
+        truncate_at: Option<usize>,
         slot: Slot,
     ) -> ResponseBody {
         let size = query_value(query, "bytes").and_then(|bytes| bytes.parse().ok());
@@ -891,7 +891,7 @@
             source: BodySource::Generated(bytes),
             sent: 0,
             size,
-            cut_at: cut_at.filter(|at| *at < size),
+            truncate_at: truncate_at.filter(|at| *at < size),
             send_content_length: query_value(query, "chunked").as_deref() != Some("1"),
             frame_delay: query_ms(query, "pace_ms"),
             pending_delay: None,
@@ -903,10 +903,10 @@
         body
     }
 
-    /// Returns the timer of the delay before the next frame, or before the cut if it is next.
+    /// Returns the timer of the delay before the next frame, or before the truncation if it is next.
     fn start_next_delay(&self) -> Option<Pin<Box<Sleep>>> {
-        let delay = if self.cut_at == Some(self.sent) {
-            Some(DELAY_BEFORE_CUT)
+        let delay = if self.truncate_at == Some(self.sent) {
+            Some(DELAY_BEFORE_TRUNCATION)
         } else {
             self.frame_delay
         };
@@ -926,12 +926,12 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = ResponseCut;
+    type Error = TruncatedError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, ResponseCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedError>>> {
         if self.sent == self.size {
             return Poll::Ready(None);
         }
@@ -939,11 +939,11 @@
             ready!(pending_delay.as_mut().poll(cx));
             self.pending_delay = None;
         }
-        if self.cut_at == Some(self.sent) {
-            return Poll::Ready(Some(Err(ResponseCut)));
+        if self.truncate_at == Some(self.sent) {
+            return Poll::Ready(Some(Err(TruncatedError)));
         }
         let end = self
-            .cut_at
+            .truncate_at
             .unwrap_or(self.size)
             .min(self.sent + MAX_FRAME_BYTES);
         let data = match &self.source {
--- a/crates/filbertgrade-standins/src/caller/mod.rs
+++ b/crates/filbertgrade-standins/src/caller/mod.rs
@@ -149,9 +149,9 @@
     /// The complete response to this request arrived.
     Complete,
     /// A response ended without an error, but its body is not the expected one for this request.
-    WrongAnswer,
+    WrongResponse,
     /// The response headers arrived, but the body failed or did not end in time.
-    Cut,
+    Truncated,
     /// The response has a status other than 200.
     Refused {
         /// HTTP status.
@@ -413,7 +413,7 @@
         return (refusal(parts.status, &parts.headers), reusable);
     }
     let outcome = match body {
-        None => Outcome::Cut,
+        None => Outcome::Truncated,
         Some(body) => {
             let CallRequest {
                 request_id,
@@ -424,7 +424,7 @@
             if body == expected_response(request_id, sent, *response_bytes) {
                 Outcome::Complete
             } else {
-                Outcome::WrongAnswer
+                Outcome::WrongResponse
             }
         }
     };
--- a/crates/filbertgrade-standins/src/caller/report.rs
+++ b/crates/filbertgrade-standins/src/caller/report.rs
@@ -64,9 +64,9 @@
     /// Calls without a response.
     pub lost: u64,
     /// Calls whose response body failed or did not end in time.
-    pub cut: u64,
+    pub truncated: u64,
     /// Calls that received a response with an unexpected body.
-    pub wrong_answer: u64,
+    pub wrong_response: u64,
     /// Calls that were not made because too many were in flight. They are not part of `sent`.
     pub skipped: u64,
     /// Latency of served calls in microseconds, measured from the planned start.
@@ -108,8 +108,8 @@
             refused_within_rate: 0,
             refused_over_rate: 0,
             lost: 0,
-            cut: 0,
-            wrong_answer: 0,
+            truncated: 0,
+            wrong_response: 0,
             skipped: 0,
             latency_us: Histogram::new_with_max(MAX_LATENCY_US, 3)
                 .expect("the bounds of the histogram are valid"),
@@ -125,8 +125,8 @@
                 let us = u64::try_from(call.latency.as_micros()).unwrap_or(u64::MAX);
                 self.latency_us.saturating_record(us);
             }
-            Outcome::WrongAnswer => self.wrong_answer += 1,
-            Outcome::Cut => self.cut += 1,
+            Outcome::WrongResponse => self.wrong_response += 1,
+            Outcome::Truncated => self.truncated += 1,
             Outcome::Refused { cause, not_run, .. } => {
                 *self.refused.entry(cause.clone()).or_default() += 1;
                 self.refused_not_run += u64::from(*not_run);
@@ -159,9 +159,9 @@
     /// Lost calls that reached no VM, so that no byte of the request was sent.
     pub lost_unsent: u64,
     /// Calls whose response body failed or did not end in time.
-    pub cut: u64,
+    pub truncated: u64,
     /// Calls that received a response with an unexpected body.
-    pub wrong_answer: u64,
+    pub wrong_response: u64,
 }
 
 /// Result of the comparison of calls with the records of the backend servers. For a correct system,
@@ -196,8 +196,8 @@
             calls: Vec::new(),
             lost: 0,
             lost_unsent: 0,
-            cut: 0,
-            wrong_answer: 0,
+            truncated: 0,
+            wrong_response: 0,
         }
     }
 
@@ -222,8 +222,8 @@
             let sent: Vec<_> = calls.map(|call| call.sent).collect();
             report.classify_refusals(&sent);
             self.lost += report.lost;
-            self.cut += report.cut;
-            self.wrong_answer += report.wrong_answer;
+            self.truncated += report.truncated;
+            self.wrong_response += report.wrong_response;
         }
     }
 
--- a/crates/filbertgrade-standins/tests/backend.rs
+++ b/crates/filbertgrade-standins/tests/backend.rs
@@ -178,16 +178,16 @@
             .await
             .is_none()
     );
-    server.cut_next_responses(1, 100);
-    let cut = send(
+    server.truncate_next_responses(1, 100);
+    let truncated = send(
         addr,
         "POST",
         "/s/x?bytes=200",
-        &[("x-request-id", "cut")],
+        &[("x-request-id", "truncated")],
         "order",
     )
     .await;
-    assert!(cut.is_none());
+    assert!(truncated.is_none());
     server.withhold_next_responses(1);
     let withheld = send(
         addr,
@@ -214,7 +214,7 @@
         .iter()
         .map(|run| run.request_id.as_str())
         .collect();
-    assert_eq!(ran, ["cut", "withheld", "complete"]);
+    assert_eq!(ran, ["truncated", "withheld", "complete"]);
     assert_eq!(server.busy(), 0);
 }
 
--- a/crates/filbertgrade-standins/tests/caller.rs
+++ b/crates/filbertgrade-standins/tests/caller.rs
@@ -92,7 +92,7 @@
 /// Guards against outcomes that are misclassified, over HTTP/1.1 and HTTP/2.
 #[rstest]
 #[case::complete(|_: &BackendServer| (), Outcome::Complete)]
-#[case::cut(|server: &BackendServer| server.cut_next_responses(1, 500), Outcome::Cut)]
+#[case::truncated(|server: &BackendServer| server.truncate_next_responses(1, 500), Outcome::Truncated)]
 #[case::withheld(|server: &BackendServer| server.withhold_next_responses(1), Outcome::Lost { sent: true })]
 #[case::closed(|server: &BackendServer| server.close_next_unread(1), Outcome::Lost { sent: true })]
 #[case::drained(|server: &BackendServer| server.set_draining(true), refused(503, "x-drain", true))]
@@ -123,8 +123,8 @@
 /// Guards against a response to another request or a truncated response that is accepted, and
 /// against refusals that are misread.
 #[rstest]
-#[case::other_request(200, &[], expected_response("other", b"order", 1_000), Outcome::WrongAnswer)]
-#[case::truncated(200, &[], expected_response("r", b"order", 999), Outcome::WrongAnswer)]
+#[case::other_request(200, &[], expected_response("other", b"order", 1_000), Outcome::WrongResponse)]
+#[case::truncated(200, &[], expected_response("r", b"order", 999), Outcome::WrongResponse)]
 #[case::not_run(
     429,
     &[("filbertgrade-cause", "over_rate"), ("filbertgrade-outcome", "not_run")],
@@ -264,8 +264,8 @@
         ],
         lost: 0,
         lost_unsent: 0,
-        cut: 0,
-        wrong_answer: 0,
+        truncated: 0,
+        wrong_response: 0,
     };
     let ids = [
         "twice",
@@ -336,7 +336,7 @@
     let sent: u64 = report.teams.values().map(|team| team.sent).sum();
     let served: u64 = report.teams.values().map(|team| team.served).sum();
     assert_eq!(
-        (served, report.lost, report.cut, report.wrong_answer),
+        (served, report.lost, report.truncated, report.wrong_response),
         (sent, 0, 0, 0)
     );
     assert_eq!(
@@ -356,7 +356,7 @@
         .count() as u64;
     assert!(
         (sent / 8..sent / 2).contains(&posts),
-        "{posts} of {sent} requests are orders"
+        "{posts} of {sent} requests use POST"
     );
     let comparison = report.compare_with_backends(&[records], Duration::ZERO);
     assert_eq!(
--- a/crates/filbertgrade/src/connection/backend.rs
+++ b/crates/filbertgrade/src/connection/backend.rs
@@ -80,7 +80,7 @@
 struct Driver {
     /// Dropped to close the connection.
     close: Option<oneshot::Sender<()>>,
-    /// Resolves once no further byte can leave.
+    /// Resolves once no further byte can be sent.
     stopped: oneshot::Receiver<()>,
 }
 
@@ -188,7 +188,7 @@
         self.age(now) > self.state.idle_limit
     }
 
-    /// Closes the connection, and returns once no further byte can leave.
+    /// Closes the connection, and returns once no more bytes can be sent.
     pub async fn close(mut self) {
         self.driver.stop().await;
     }
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// Fails when the connection ends first. [`Connection::close`] then returns
-    /// whether any byte of the request left.
+    /// whether any byte of the request was sent.
     pub async fn send(
         &mut self,
         req: Request<RequestBody>,
@@ -215,7 +215,7 @@
         self.sender.send_request(req).await
     }
 
-    /// Whether at least one byte of the request has left so far.
+    /// Whether at least one byte of the request has been sent so far.
     #[must_use]
     pub fn has_sent_bytes(&self) -> bool {
         self.count.sent() > self.state.sent_before
@@ -237,9 +237,10 @@
         })
     }
 
-    /// Closes the connection, and returns whether any byte of the request left.
+    /// Closes the connection, and returns whether any byte of the request was
+    /// sent.
     pub async fn close(mut self) -> bool {
-        // Bytes may still leave until the task has released the socket.
+        // Bytes may still be sent until the task has released the socket.
         self.driver.stop().await;
         self.has_sent_bytes()
     }
--- a/crates/filbertgrade/src/connection/counting.rs
+++ b/crates/filbertgrade/src/connection/counting.rs
@@ -1,5 +1,5 @@
-//! An I/O stream that counts the bytes it has sent, to tell whether any byte of
-//! a request left this VM.
+//! An I/O stream that counts the bytes it has sent, which shows whether any
+//! byte of a request was sent.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -394,8 +394,8 @@
     }
 }
 
-/// Asks the agent of `vm` which version of the share table is in effect; `None`
-/// without a valid reply.
+/// Requests from the agent of `vm` the version of the share table in effect;
+/// `None` without a valid reply.
 async fn request_ack(vm: VmName, link: PeerLink) -> Option<(VmName, u64)> {
     let request = Body::StatusRequest(StatusRequest {});
     match link.call(request, STATUS_TIMEOUT).await {
--- a/crates/filbertgrade/src/process/agent/peers.rs
+++ b/crates/filbertgrade/src/process/agent/peers.rs
@@ -173,7 +173,7 @@
             received_age_ms: ages.last_received.map(millis),
             revision: ages.revision,
             confirmed_revision: ages.confirmed.map_or(0, |(_, revision)| revision),
-            store_answered_age_ms: ages.store_answered.map(millis),
+            store_responded_age_ms: ages.store_responded.map(millis),
         }
     }
 }
@@ -190,7 +190,7 @@
             confirmed: evidence
                 .confirmed_age_ms
                 .map(|ms| (age(ms), evidence.confirmed_revision)),
-            store_answered: evidence.store_answered_age_ms.map(age),
+            store_responded: evidence.store_responded_age_ms.map(age),
             last_received: evidence.received_age_ms.map(age),
             revision: evidence.revision,
         })
--- a/crates/filbertgrade/src/process/agent/pull.rs
+++ b/crates/filbertgrade/src/process/agent/pull.rs
@@ -22,9 +22,9 @@
 /// cannot serve requests until it has received state.
 const PULL_INTERVAL_WITHOUT_VM_LIST: Duration = Duration::from_millis(50);
 
-/// Number of peers in one round. One of them, in turn, is asked for the evidence
-/// of all regions, which makes up most of a reply in a large fleet. The others
-/// send only the newest confirmation, which is enough for freshness while the
+/// Number of peers in one round. One of them, in turn, sends the evidence of
+/// all regions, which makes up most of a reply in a large fleet. The others send
+/// only the newest confirmation, which is enough for freshness while the
 /// store responds.
 const PEERS_PER_ROUND: u64 = 3;
 
--- a/crates/filbertgrade/src/process/command/apply.rs
+++ b/crates/filbertgrade/src/process/command/apply.rs
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a file is invalid or the store does not answer.
+/// Fails when a file is invalid or the store does not respond.
 pub(super) async fn diff(
     files: &[PathBuf],
     settings: &CommandSettings,
@@ -168,7 +168,7 @@
 }
 
 /// Parts in the store that the next root does not name, with their revisions.
-/// Empty when the store does not answer; the next apply then removes them.
+/// Empty when the store does not respond; the next apply then removes them.
 async fn obsolete_parts(platform: &dyn Platform, next: &[String]) -> Vec<(String, Revision)> {
     let listed = platform.list(&[&stored::part_name("")]).await;
     let objects = listed.map(|listed| listed.objects).unwrap_or_default();
--- a/crates/filbertgrade/src/process/command/dev/report.rs
+++ b/crates/filbertgrade/src/process/command/dev/report.rs
@@ -112,9 +112,9 @@
         Self {
             requests: teams.clone().map(|team| team.sent).sum(),
             lost: load.lost,
-            cut: load.cut,
+            cut: load.truncated,
             repeated: comparison.repeated,
-            wrong_answer: load.wrong_answer,
+            wrong_answer: load.wrong_response,
             wrong_team: comparison.wrong_team,
             ran_after_not_run: comparison.ran_after_not_run,
             key_seen_by_backend: comparison.key_seen_by_backend,
--- a/crates/filbertgrade/src/process/command/error.rs
+++ b/crates/filbertgrade/src/process/command/error.rs
@@ -44,9 +44,9 @@
     /// The store failed, and nothing took effect.
     #[error("the store failed, nothing took effect: {0}")]
     Store(#[from] PlatformError),
-    /// The store did not answer the write, and the outcome could not be read in
-    /// time. The write may have taken effect.
-    #[error("outcome unknown, the store answered neither the write nor a read after it: {0}")]
+    /// The store did not respond to the write, and the outcome could not be read
+    /// in time. The write may have taken effect.
+    #[error("outcome unknown, the store responded to neither the write nor a read after it: {0}")]
     Unknown(PlatformError),
     /// The write took effect, but not every VM confirmed it in time.
     #[error("written, not confirmed; waiting for {}", .waiting.join(", "))]
--- a/crates/filbertgrade/src/process/command/status.rs
+++ b/crates/filbertgrade/src/process/command/status.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the store fails. A VM that does not answer is not an error; its
+/// Fails when the store fails. A VM that does not respond is not an error; its
 /// line says so.
 pub(super) async fn status(settings: &CommandSettings) -> Result<(), CommandError> {
     let platform = HttpPlatform::new(settings.store, None);
--- a/crates/filbertgrade/src/process/command/write.rs
+++ b/crates/filbertgrade/src/process/command/write.rs
@@ -9,7 +9,7 @@
 use super::CommandError;
 use crate::platform::{Condition, Object, Platform, PlatformError, Revision};
 
-/// Time limit for determining the outcome of a write that was not answered. It
+/// Time limit for determining the outcome of a write without a response. It
 /// allows several calls of 2 s each.
 const RESOLVE_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -31,7 +31,7 @@
 /// read from the store shows that this write took effect, even if another write
 /// has followed.
 ///
-/// A write that was not answered may still be in transit, so an object that
+/// A write without a response may still be in transit, so an object that
 /// does not show it proves nothing. The same conditional write is then sent
 /// again: it either takes effect or fails its condition permanently.
 pub(super) async fn write(
@@ -42,7 +42,7 @@
     is_own: impl Fn(&Object) -> bool,
 ) -> Result<Written, CommandError> {
     let deadline = Instant::now() + RESOLVE_TIMEOUT;
-    let mut unanswered = false;
+    let mut outcome_unknown = false;
     loop {
         let error = match platform.put(name, value.clone(), condition).await {
             Ok(revision) => return Ok(Written::Confirmed(revision)),
@@ -55,8 +55,8 @@
                 }
             }
             Err(error) => {
-                unanswered |= error.is_outcome_unknown();
-                if !unanswered {
+                outcome_unknown |= error.is_outcome_unknown();
+                if !outcome_unknown {
                     return Err(error.into());
                 }
                 if let Ok(Some(object)) = platform.get(name).await
@@ -68,7 +68,7 @@
             }
         };
         if Instant::now() >= deadline {
-            return Err(if unanswered {
+            return Err(if outcome_unknown {
                 CommandError::Unknown(error)
             } else {
                 error.into()
@@ -86,7 +86,7 @@
     revision: Revision,
 ) -> Result<Option<Revision>, CommandError> {
     let deadline = Instant::now() + RESOLVE_TIMEOUT;
-    let mut unanswered = false;
+    let mut outcome_unknown = false;
     loop {
         let error = match platform.delete(name, revision).await {
             Ok(revision) => return Ok(Some(revision)),
@@ -99,8 +99,8 @@
                 Err(error) => error,
             },
             Err(error) => {
-                unanswered |= error.is_outcome_unknown();
-                if !unanswered {
+                outcome_unknown |= error.is_outcome_unknown();
+                if !outcome_unknown {
                     return Err(error.into());
                 }
                 error
--- a/crates/filbertgrade/src/process/entry/admission.rs
+++ b/crates/filbertgrade/src/process/entry/admission.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Lends a peer the part of this VM's share that its own demand leaves
-    /// unused. Returns `None` when nothing can be lent.
+    /// Lends a peer what this VM's own demand leaves unused of its share.
+    /// Returns `None` when nothing can be lent.
     pub(crate) fn lend(&self, team: &TeamName, request: &LoanRequest) -> Option<Loan> {
         let share = self.find(team)?;
         match share.state().ledger.lend(Instant::now(), request) {
--- a/crates/filbertgrade/src/process/entry/forward.rs
+++ b/crates/filbertgrade/src/process/entry/forward.rs
@@ -506,7 +506,7 @@
 
 /// Returns whether the response marks the end of its body by a length or by
 /// chunked encoding. A response that ends when its connection closes looks
-/// complete even if it was cut, and a caller could not detect that.
+/// complete even if it was truncated, and a caller could not detect that.
 fn marks_its_end(method: &Method, response: &Response<Incoming>) -> bool {
     let bodiless = method == Method::HEAD
         || response.status() == StatusCode::NO_CONTENT
--- a/crates/filbertgrade/src/process/entry/mod.rs
+++ b/crates/filbertgrade/src/process/entry/mod.rs
@@ -119,7 +119,7 @@
         self.valid_until.load().is_some_and(|until| now <= until)
     }
 
-    /// Returns whether the process has been asked to stop.
+    /// Returns whether the process has received the signal to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
--- a/crates/filbertgrade/src/process/node/copy.rs
+++ b/crates/filbertgrade/src/process/node/copy.rs
@@ -1,5 +1,5 @@
-//! Local copy of the store, from which a relay answers the nodes that pull from
-//! it.
+//! Local copy of the store, from which a relay replies to the nodes that pull
+//! from it.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Mutex;
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -147,7 +147,7 @@
     /// Notified when the configuration was confirmed or the endpoints were
     /// read.
     store_read: watch::Sender<()>,
-    /// Notified when the store answers again after an outage.
+    /// Notified when the store responds again after an outage.
     store_restored: watch::Sender<()>,
     /// Relays from which a pull has failed recently, with the time of the
     /// failure.
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -21,7 +21,7 @@
 use crate::wire::{Body, StoreEvent, StorePull, StoreUpdate};
 
 /// Age of a relay's last confirmation of the configuration from which the relay
-/// counts as cut off from the store. The relay requests confirmations more
+/// counts as isolated from the store. The relay requests confirmations more
 /// often than that.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1_600);
 
@@ -61,7 +61,7 @@
 /// Why a pull from a relay failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RelayError {
-    /// The relay cannot be reached or did not answer in time.
+    /// The relay cannot be reached or did not reply in time.
     #[error(transparent)]
     Link(#[from] crate::connection::LinkError),
     /// An object in the reply is malformed.
@@ -95,7 +95,7 @@
     .find(|kind| kind_number(*kind) == number)
 }
 
-/// Answers the pulls of other nodes until the process ends.
+/// Replies to the pulls of other nodes until the process ends.
 pub(super) async fn serve_pulls(node: Arc<Node>, listener: TcpListener) {
     serve_frames(listener, move |_peer, body| {
         let node = Arc::clone(&node);
@@ -103,7 +103,7 @@
             let Body::StorePull(pull) = body else {
                 return None;
             };
-            let update = answer_pull(&node, &pull).await.unwrap_or(StoreUpdate {
+            let update = reply_to_pull(&node, &pull).await.unwrap_or(StoreUpdate {
                 unavailable: true,
                 ..StoreUpdate::default()
             });
@@ -116,7 +116,7 @@
 /// Waits until this node has something newer than the requesting node, at most
 /// for the time that the pull allows. Returns `None` when this node has no copy
 /// of the kind, or does not know when the store confirmed its copies.
-async fn answer_pull(node: &Node, pull: &StorePull) -> Option<StoreUpdate> {
+async fn reply_to_pull(node: &Node, pull: &StorePull) -> Option<StoreUpdate> {
     let received_at = Instant::now();
     let kind = kind_from_number(pull.kind)?;
     let mut changed = node.store_copy.with(kind, |copy| copy.subscribe());
@@ -214,13 +214,13 @@
     }
     // The relay held the pull for `hold_ms` before it computed the ages, so
     // this is the earliest instant that they can refer to.
-    let answered_at = sent_at + Duration::from_millis(wire.hold_ms);
+    let replied_at = sent_at + Duration::from_millis(wire.hold_ms);
     let events: Result<Vec<Event>, _> = wire.events.into_iter().map(Event::try_from).collect();
     Ok(Update {
         is_snapshot: wire.snapshot,
         events: events?,
         revision: wire.revision,
-        confirmed_at: answered_at.checked_sub(Duration::from_millis(wire.age_ms)),
+        confirmed_at: replied_at.checked_sub(Duration::from_millis(wire.age_ms)),
         unreadable: 0,
     })
 }
--- a/crates/filbertgrade/src/process/node/stop.rs
+++ b/crates/filbertgrade/src/process/node/stop.rs
@@ -15,12 +15,12 @@
 use crate::sync::lock;
 
 /// How long a VM still accepts connections after it received the signal to
-/// stop. Some callers keep the answer to a lookup for three times its time to
+/// stop. Some callers cache the response to a lookup for three times its time to
 /// live.
 const ACCEPT_GRACE: Duration = LOOKUP_TTL.saturating_mul(3);
 
-/// Unused rest of the time to stop, so that the process ends by itself before
-/// the platform kills it.
+/// Margin before the end of the time to stop, so that the process ends by itself
+/// before the platform kills it.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
 /// How often the settings file is read to detect changes without a signal.
--- a/crates/filbertgrade/src/process/node/store.rs
+++ b/crates/filbertgrade/src/process/node/store.rs
@@ -27,7 +27,7 @@
 use crate::sync::lock;
 
 /// Timeout of one call, in addition to the wait that a watch requests. A
-/// healthy store answers within milliseconds, an overloaded one many times
+/// healthy store responds within milliseconds, an overloaded one many times
 /// slower.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -162,7 +162,7 @@
     client: StoreClient,
     /// Link to the relay that was used last.
     link: Option<(SocketAddr, PeerLink)>,
-    /// Notified when the store answers again after an outage.
+    /// Notified when the store responds again after an outage.
     store_restored: watch::Receiver<()>,
     /// When pulls from relays last failed, for any kind.
     failed_relays: watch::Receiver<IndexMap<SocketAddr, Instant>>,
@@ -256,7 +256,7 @@
         }
     }
 
-    /// While the store does not answer, only the task for the configuration
+    /// While the store does not respond, only the task for the configuration
     /// calls it, so that an outage does not multiply the calls.
     fn must_wait_for_store(&self, node: &Node) -> bool {
         self.kind != Kind::Configuration && lock(&node.store_health).is_failing()
@@ -399,7 +399,7 @@
 
 /// Instant up to which a response proves that there were no further changes.
 ///
-/// The store answers a watch without changes at the end of its wait, so such a
+/// The store responds to a watch without changes at the end of its wait, so such a
 /// response confirms the whole wait; any other confirms the time of the call.
 fn confirmed_at(started_at: Instant, wait: Duration, unchanged: bool) -> Instant {
     if unchanged && started_at.elapsed() >= wait {
@@ -409,7 +409,7 @@
     }
 }
 
-/// Counts an answered call, and reports the end of an outage if it ended one.
+/// Counts a successful call, and reports the end of an outage if it ended one.
 fn record_success(node: &Node, kind: Kind) {
     let kind = kind.as_str();
     metrics::counter!("store_calls_total", "kind" => kind, "result" => "ok").increment(1);
@@ -475,7 +475,7 @@
 impl Follower for Configuration {
     const KIND: Kind = Kind::Configuration;
     // Withdrawn keys must stop working within seconds, even when the store
-    // stops answering on an open connection.
+    // stops responding on an open connection.
     const MAX_WATCH_WAIT: Duration = Duration::from_millis(600);
 
     fn replace(&mut self, node: &Node, objects: Vec<Object>, revision: u64) {
--- a/crates/filbertgrade/src/request/attempt.rs
+++ b/crates/filbertgrade/src/request/attempt.rs
@@ -8,12 +8,12 @@
 /// Progress of an attempt, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptState {
-    /// No byte of the request left this VM.
+    /// No byte of the request was sent.
     NotSent,
-    /// At least one byte of the request left this VM.
+    /// At least one byte of the request was sent.
     PartlySent,
     /// The whole request was passed to the connection, and at least one byte
-    /// of it left this VM.
+    /// of it was sent.
     FullySent,
     /// The headers of the response arrived.
     ResponseStarted,
@@ -21,7 +21,7 @@
 
 /// What was sent on the connection since the attempt started.
 pub trait SendProgress: Debug {
-    /// At least one byte of the request left this VM.
+    /// At least one byte of the request was sent.
     fn has_sent_bytes(&self) -> bool;
 
     /// The whole request body was passed to the connection.
@@ -74,7 +74,7 @@
     /// Advances the attempt to the state that `progress` shows.
     ///
     /// A result of [`Observed::NotSent`] is final only once the connection is
-    /// closed, because until then further bytes may leave.
+    /// closed, because until then further bytes may be sent.
     #[must_use]
     pub fn observe(self, progress: &impl SendProgress) -> Observed {
         if progress.has_sent_bytes() {
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the attempt unchanged when no byte of the request had left,
+    /// Returns the attempt unchanged when no byte of the request was sent,
     /// because what arrived then is not a response to this request.
     pub fn response_started(self) -> Result<Attempt<ResponseStarted>, Attempt<NotSent>> {
         match self {
--- a/crates/filbertgrade/src/request/decision.rs
+++ b/crates/filbertgrade/src/request/decision.rs
@@ -115,7 +115,7 @@
 }
 
 /// Whether a backend server may have run the request of a failed attempt. This
-/// is so once a byte left, unless the backend server refused explicitly.
+/// is so once a byte was sent, unless the backend server refused explicitly.
 #[must_use]
 pub fn may_have_run(failure: Failure, state: AttemptState) -> bool {
     state > AttemptState::NotSent && !failure.is_explicit_refusal()
--- a/crates/filbertgrade/src/request/guard.rs
+++ b/crates/filbertgrade/src/request/guard.rs
@@ -20,7 +20,7 @@
 use crate::platform::{Condition, Platform, PlatformError, Revision};
 use crate::process::tasks::Tasks;
 
-/// Time limit for a claim. The platform normally answers in milliseconds. When
+/// Time limit for a claim. The platform normally responds in milliseconds. When
 /// it does not, the caller should learn soon that nothing ran.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
--- a/crates/filbertgrade/src/wire/mod.rs
+++ b/crates/filbertgrade/src/wire/mod.rs
@@ -236,7 +236,7 @@
     /// Age of the newest response of the store for any revision, in
     /// milliseconds.
     #[prost(uint32, optional, tag = "6")]
-    pub store_answered_age_ms: Option<u32>,
+    pub store_responded_age_ms: Option<u32>,
 }
 
 /// Reply to [`PullRequest`].
--- a/crates/filbertgrade/tests/explain.rs
+++ b/crates/filbertgrade/tests/explain.rs
@@ -53,7 +53,7 @@
     assert_eq!(read_logs("a1", &[("vm-0", line)]).cause(), None);
 }
 
-/// Guards against losing the reason of a late answer when the lines of the
+/// Guards against losing the reason of a late response when the lines of the
 /// request are spread over several logs.
 #[test]
 fn lines_of_several_logs_are_sorted_by_time_and_shown_with_context() {
--- a/crates/filbertgrade/tests/it/leaving.rs
+++ b/crates/filbertgrade/tests/it/leaving.rs
@@ -54,7 +54,10 @@
         .count();
     assert_eq!(late_runs, 0);
     let team = &report.teams["atelier"];
-    assert_eq!((team.served, report.lost, report.cut), (team.sent, 0, 0));
+    assert_eq!(
+        (team.served, report.lost, report.truncated),
+        (team.sent, 0, 0)
+    );
 }
 
 /// Guards against lookup responses that still name a VM which the platform's
--- a/crates/filbertgrade/tests/moves/moving.rs
+++ b/crates/filbertgrade/tests/moves/moving.rs
@@ -164,7 +164,7 @@
         for region in 0..2 {
             assert_gains_capped(&self.shares(region));
         }
-        assert_eq!(self.report.cut + self.report.wrong_answer, 0);
+        assert_eq!(self.report.truncated + self.report.wrong_response, 0);
     }
 }
 
@@ -276,7 +276,7 @@
     let result = loaded.finish().await;
     let north = result.shares_of_offered(0);
     assert_gains_capped(&north);
-    assert_eq!(result.report.cut + result.report.wrong_answer, 0);
+    assert_eq!(result.report.truncated + result.report.wrong_response, 0);
     assert!(
         north.last() > north.first(),
         "no request spilled to north: {north:.2?}"
--- a/crates/filbertgrade/tests/node/stop.rs
+++ b/crates/filbertgrade/tests/node/stop.rs
@@ -4,7 +4,7 @@
 
 use crate::cluster::{KEY, TestCluster, eventually};
 
-/// Guards against a graceful stop that cuts running requests, and against
+/// Guards against a graceful stop that interrupts running requests, and against
 /// lookups that still name the stopping node.
 #[tokio::test]
 async fn graceful_stop_completes_running_requests() {
--- a/crates/filbertgrade/tests/path/bad_responses.rs
+++ b/crates/filbertgrade/tests/path/bad_responses.rs
@@ -61,7 +61,7 @@
 #[rstest]
 #[case::ends_with_the_connection("HTTP/1.1 200 OK\r\n\r\npart of an answer")]
 #[case::not_http("hello\r\n\r\n")]
-#[case::head_is_cut("HTTP/1.1 200 OK\r\nx-part:")]
+#[case::head_is_truncated("HTTP/1.1 200 OK\r\nx-part:")]
 #[case::unknown_length("HTTP/1.1 200 OK\r\ncontent-length: many\r\n\r\nabc")]
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_response_is_reported_as_outcome_unknown(#[case] response: &'static str) {
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -14,11 +14,11 @@
 
 use crate::scenario::ready_fleet;
 
-/// Guards against a stop that cuts requests on connections that callers use
+/// Guards against a stop that interrupts requests on connections that callers use
 /// without a pause, and against one that never ends because of such
 /// connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn stop_under_load_cuts_no_request() {
+async fn stop_under_load_interrupts_no_request() {
     let (mut fleet, secret) = ready_fleet(2).await;
     let vm = fleet.vms[0].caller_address();
     let lookup_expired = Arc::new(AtomicBool::new(false));
@@ -93,7 +93,7 @@
         let id = format!("{tag}-{n}");
         let req = post_request(secret, "/chart/order?bytes=20000", &id);
         let response = sender.send_request(req).await;
-        let response = response.unwrap_or_else(|e| panic!("{id} is cut: {e}"));
+        let response = response.unwrap_or_else(|e| panic!("{id} was interrupted: {e}"));
         assert_eq!(response.status(), 200, "{id}: {:?}", response.headers());
         let closes = response.headers().contains_key("connection");
         let body = response.into_body().collect().await.unwrap().to_bytes();
@@ -129,7 +129,7 @@
             Err(error) => {
                 let text = format!("{error:?}");
                 let not_processed = text.contains("GoAway") || text.contains("Canceled");
-                assert!(not_processed, "{id} is cut: {text}");
+                assert!(not_processed, "{id} was interrupted: {text}");
                 refused.push(id);
                 return n;
             }
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -30,7 +30,7 @@
 struct RequestResult {
     id: String,
     non_idempotent: bool,
-    /// Status and outcome header; `None` when the response was cut or missing.
+    /// Status and outcome header; `None` when the response was truncated or missing.
     response: Option<(u16, Option<String>)>,
 }
 
@@ -83,7 +83,7 @@
         let (backend, proxy) = (&fleet.backends[n], &fleet.proxies[n]);
         match rng.random_range(0..11) {
             0 => backend.withhold_next_responses(1),
-            1 => backend.cut_next_responses(2, 300),
+            1 => backend.truncate_next_responses(2, 300),
             2 => backend.close_next_unread(2),
             3 => backend.freeze_open_connections(),
             4 => proxy.reset_open(),
--- a/crates/filbertgrade/tests/path/scenario.rs
+++ b/crates/filbertgrade/tests/path/scenario.rs
@@ -211,11 +211,11 @@
         let mut args = command.consume_args();
         let n: usize = args.next_pos().ok_or("no backend server")?.parse()?;
         let backend = &self.fleet.backends[n - 1];
-        let cut_after = args.take_key("after").unwrap_or("0").parse()?;
+        let truncate_after = args.take_key("after").unwrap_or("0").parse()?;
         while let Some((fault, value)) = args.next_key() {
             match fault {
                 "swallow" => backend.withhold_next_responses(value.parse()?),
-                "cut" => backend.cut_next_responses(value.parse()?, cut_after),
+                "cut" => backend.truncate_next_responses(value.parse()?, truncate_after),
                 "close_unread" => backend.close_next_unread(value.parse()?),
                 "draining" => backend.set_draining(value.parse()?),
                 "silence_open" => backend.freeze_open_connections(),
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -113,7 +113,7 @@
 /// Guards against an upload that looks complete although its caller
 /// disconnected.
 #[tokio::test(flavor = "multi_thread")]
-async fn upload_cut_by_the_caller_does_not_run() {
+async fn upload_aborted_by_the_caller_does_not_run() {
     let (fleet, secret) = ready_fleet(1).await;
     let body = stream::iter(0..100).map(|n| {
         if n < 50 {
@@ -122,10 +122,10 @@
             Err(std::io::Error::other("the caller disconnects"))
         }
     });
-    let response = stream_to(&fleet, &secret, "cut-upload", body).await;
+    let response = stream_to(&fleet, &secret, "aborted-upload", body).await;
     assert!(response.is_err());
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert!(find_run(&fleet, "cut-upload").is_none());
+    assert!(find_run(&fleet, "aborted-upload").is_none());
     assert!(fleet.backends.iter().all(|b| b.busy() == 0));
 }
 
