--- a/crates/filbertgrade-coord/src/slots.rs
+++ b/crates/filbertgrade-coord/src/slots.rs
@@ -1,4 +1,5 @@
-//! Assignment of requests to the endpoints of one service in one region.
+//! The slot pool of one service in one region, which assigns the slots of its
+//! endpoints to requests, fairly by team.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -1,4 +1,5 @@
-//! The input and the result of picking an endpoint.
+//! The input and the result of picking an endpoint, and the outcome of the request
+//! there.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/filbertgrade-coord/src/steering/quota/holder.rs
+++ b/crates/filbertgrade-coord/src/steering/quota/holder.rs
@@ -1,4 +1,5 @@
-//! State of a team on a VM that is one of the team's holders.
+//! State of a team on a VM that is one of the team's holders, which grant tokens
+//! to the other VMs of the region.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
+++ b/crates/filbertgrade-coord/tests/ledger/exhaustive.rs
@@ -1,4 +1,5 @@
-//! Breadth-first search over all sequences of a few operations on three VMs.
+//! Checks the ledgers of three VMs in a breadth-first search over all sequences
+//! of a few operations.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/filbertgrade-coord/tests/ledger/random.rs
+++ b/crates/filbertgrade-coord/tests/ledger/random.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of all operations and faults on a fleet of ledgers.
+//! Checks a fleet of ledgers under random interleavings of all operations and
+//! faults.
 
 use filbertgrade_coord::bucket::RateShare;
 use proptest::prelude::{Just, ProptestConfig, Strategy, prop_oneof, proptest};
--- a/crates/filbertgrade-coord/tests/steering/fleet.rs
+++ b/crates/filbertgrade-coord/tests/steering/fleet.rs
@@ -1,4 +1,5 @@
-//! Which VMs run, which ones poll the store, and the affinity of objects.
+//! Tests of which VMs are considered running, which ones poll the store, and the
+//! affinity of objects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/filbertgrade-coord/tests/steering/limits.rs
+++ b/crates/filbertgrade-coord/tests/steering/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of teams, the retry budget, and the age of the store's confirmation.
+//! Tests of the limits of teams, the retry budget, second attempts, and the age
+//! of the store's confirmation.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade-coord/tests/steering/registry.rs
+++ b/crates/filbertgrade-coord/tests/steering/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoints that register, leave, expire and register again.
+//! Tests of endpoints that register, leave, expire and register again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade/src/explain/mod.rs
+++ b/crates/filbertgrade/src/explain/mod.rs
@@ -1,8 +1,8 @@
 //! Reconstructs the history of one request from the logs of several processes.
 //!
 //! Logs are read line by line, so that their size does not matter. The lines
-//! with the id of the request are kept, and before them the context: the last
-//! line of each kind that shows in which state the process was.
+//! with the id of the request are kept. They are preceded by context: for each
+//! kind of event that shows the state of the process, the last line before them.
 
 mod cause;
 mod line;
--- a/crates/filbertgrade/src/process/command/stored.rs
+++ b/crates/filbertgrade/src/process/command/stored.rs
@@ -1,4 +1,5 @@
-//! Reads configurations from files and from the store.
+//! Reads configurations from files and from the store, and splits them into the
+//! parts that are stored.
 
 use std::path::PathBuf;
 
--- a/crates/filbertgrade/src/process/entry/caller.rs
+++ b/crates/filbertgrade/src/process/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The port for callers: HTTP/1.1 and HTTP/2.
+//! Serves the port for callers over HTTP/1.1 and HTTP/2.
 
 use std::convert::Infallible;
 use std::future::Future;
--- a/crates/filbertgrade/src/process/entry/shutdown.rs
+++ b/crates/filbertgrade/src/process/entry/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: running requests are completed before the process exits.
+//! Graceful stop of the entry: running requests are completed before the process
+//! exits.
 
 use std::future::Future;
 use std::sync::atomic::Ordering;
--- a/crates/filbertgrade/src/process/entry/slots/grant.rs
+++ b/crates/filbertgrade/src/process/entry/slots/grant.rs
@@ -1,4 +1,5 @@
-//! The right to run one request on an endpoint.
+//! The right to run one request on an endpoint: renewal of its permit, and the
+//! release of the slot.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/filbertgrade/src/process/node/mod.rs
+++ b/crates/filbertgrade/src/process/node/mod.rs
@@ -1,4 +1,5 @@
-//! The node: one process on each VM of a platform that has a store.
+//! The node: the single process on each VM of a platform that provides its own
+//! store, in place of the entry and the agent.
 //!
 //! It answers lookups, forwards requests to backend servers, and keeps a local
 //! copy of the store. Its decisions are made in
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -1,7 +1,8 @@
 //! Relaying of store updates between the nodes of a region.
 //!
-//! One node of each region follows the store. The others pull updates from it,
-//! or from a node that does so: their relay. Calls to the store are counted and
+//! One node of each region follows the store. Each of the others pulls updates
+//! from its relay, which is this node or, in a large region, one that itself
+//! pulls from a relay. Calls to the store are counted and
 //! paid for, so their number must not grow with the fleet. A node whose relays
 //! fail calls the store itself.
 
--- a/crates/filbertgrade/src/version/names.rs
+++ b/crates/filbertgrade/src/version/names.rs
@@ -1,3 +1,3 @@
-//! Names that the configuration defines.
+//! The service names that the configuration defines.
 
 pub use filbertgrade_coord::names::ServiceName;
--- a/crates/filbertgrade/tests/agents/allocation.rs
+++ b/crates/filbertgrade/tests/agents/allocation.rs
@@ -1,4 +1,5 @@
-//! History of the share table and of the allocator's lease in the store.
+//! Records the history of the share table and of the allocator's lease in the
+//! store, for the scenarios to check.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/filbertgrade/tests/agents/config.rs
+++ b/crates/filbertgrade/tests/agents/config.rs
@@ -1,4 +1,5 @@
-//! Distribution of configurations while a VM cannot reach the store.
+//! Test that large configurations reach every VM, also one that cannot reach the
+//! store.
 
 use std::time::Duration;
 
--- a/crates/filbertgrade/tests/agents/load.rs
+++ b/crates/filbertgrade/tests/agents/load.rs
@@ -1,5 +1,5 @@
-//! Callers that send requests to every VM, and the requests that the backend
-//! servers ran.
+//! Load for the scenarios: callers that send requests to every VM, and the
+//! requests that the backend servers ran.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/filbertgrade/tests/agents/scale.rs
+++ b/crates/filbertgrade/tests/agents/scale.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages between agents as the fleet grows.
+//! Test of the size of messages between agents as the fleet grows.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade/tests/it/main.rs
+++ b/crates/filbertgrade/tests/it/main.rs
@@ -1,4 +1,5 @@
-//! Integration tests of real processes on loopback addresses.
+//! Integration tests of the request path and of draining, with real processes on
+//! loopback addresses.
 
 #![expect(
     clippy::unwrap_used,
--- a/crates/filbertgrade/tests/moves/view.rs
+++ b/crates/filbertgrade/tests/moves/view.rs
@@ -1,4 +1,4 @@
-//! Views built from a configuration and other stored objects, without processes.
+//! Builds views from a configuration and other stored objects, without processes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/filbertgrade/tests/node/configuration.rs
+++ b/crates/filbertgrade/tests/node/configuration.rs
@@ -1,4 +1,5 @@
-//! Changes in the store, and outages of the store.
+//! Tests of a running node when objects in the store change, and while the store
+//! is down.
 
 use std::time::Duration;
 
--- a/crates/filbertgrade/tests/node/explain.rs
+++ b/crates/filbertgrade/tests/node/explain.rs
@@ -1,4 +1,4 @@
-//! Explains failed requests from the log of a node.
+//! Test that `explain` finds the cause of failed requests in the log of a node.
 
 use filbertgrade::explain::RequestHistory;
 use filbertgrade_standins::node::endpoint::EndpointBehavior;
--- a/crates/filbertgrade/tests/node/fleet.rs
+++ b/crates/filbertgrade/tests/node/fleet.rs
@@ -1,4 +1,5 @@
-//! Several nodes in one region.
+//! Tests of several nodes in one region: how they discover each other, and how
+//! they receive the store's changes through relays.
 
 use std::time::Duration;
 
--- a/crates/filbertgrade/tests/node/requests.rs
+++ b/crates/filbertgrade/tests/node/requests.rs
@@ -1,4 +1,5 @@
-//! Single requests, as callers and backend servers see them.
+//! Tests of single requests: which are refused or sent again, and what callers
+//! and backend servers receive.
 
 use std::time::{Duration, Instant};
 
--- a/crates/filbertgrade/tests/node/stop.rs
+++ b/crates/filbertgrade/tests/node/stop.rs
@@ -1,4 +1,4 @@
-//! Graceful stop, and settings that are reloaded.
+//! Tests of the graceful stop of a node, and of reloading its settings.
 
 use std::time::Duration;
 
--- a/crates/filbertgrade/tests/path/bad_input.rs
+++ b/crates/filbertgrade/tests/path/bad_input.rs
@@ -1,4 +1,5 @@
-//! Malformed or slow input from callers: a clear refusal at a bounded cost.
+//! Tests that malformed or slow input from callers gets a clear refusal at a
+//! bounded cost.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade/tests/path/bad_responses.rs
+++ b/crates/filbertgrade/tests/path/bad_responses.rs
@@ -1,4 +1,4 @@
-//! Backend servers whose responses violate the protocol.
+//! Tests with backend servers whose responses violate the protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/filbertgrade/tests/path/decisions.rs
+++ b/crates/filbertgrade/tests/path/decisions.rs
@@ -1,5 +1,5 @@
-//! Properties of the decision after a failed attempt, of the retry budget, and
-//! of the limits that callers may set.
+//! Property tests of the decision after a failed attempt, of the retry budget,
+//! and of the limits that callers may set.
 
 use std::time::{Duration, Instant};
 
--- a/crates/filbertgrade/tests/path/graceful_stop.rs
+++ b/crates/filbertgrade/tests/path/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! Graceful stop of a VM under load.
+//! Test of the graceful stop of a VM under load.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/filbertgrade/tests/path/random_faults.rs
+++ b/crates/filbertgrade/tests/path/random_faults.rs
@@ -1,4 +1,5 @@
-//! Random faults under load: the outcomes reported to callers must be true.
+//! Test under load with random faults that the outcomes reported to callers are
+//! true.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -1,5 +1,5 @@
-//! Streaming of large bodies in bounded memory, and concurrent use of one
-//! idempotency key on two VMs.
+//! Tests of streaming large bodies in bounded memory, and of concurrent use of
+//! one idempotency key on two VMs.
 
 use std::time::Duration;
 
