--- a/crates/filbertgrade-coord/src/steering/balancer/request.rs
+++ b/crates/filbertgrade-coord/src/steering/balancer/request.rs
@@ -107,7 +107,7 @@
     ConnectionLost,
     /// No response arrived before the deadline.
     TimedOut,
-    /// The caller disconnected, another attempt was answered first, or the
+    /// The caller disconnected, another attempt got a response first, or the
     /// request was never sent. It reveals nothing about the endpoint.
     Cancelled,
 }
--- a/crates/filbertgrade-coord/src/steering/deployment.rs
+++ b/crates/filbertgrade-coord/src/steering/deployment.rs
@@ -91,9 +91,10 @@
     pub name: ServiceName,
     /// Number of connections that an endpoint accepts from all VMs together.
     pub max_connections: u32,
-    /// How long an endpoint is cold after its start, and takes only `cold_rate`.
+    /// How long an endpoint is cold after its start, and accepts only
+    /// `cold_rate`.
     pub cold_time: Duration,
-    /// Rate in requests a second that a cold endpoint takes from all VMs together.
+    /// Rate in requests a second that a cold endpoint accepts from all VMs together.
     pub cold_rate: f64,
 }
 
--- a/crates/filbertgrade-coord/src/steering/members.rs
+++ b/crates/filbertgrade-coord/src/steering/members.rs
@@ -24,8 +24,9 @@
 /// configuration in time.
 const RELAY_FANOUT: usize = 10;
 
-/// Rank of the VM that the others poll when their own relay has lost the store.
-/// It polls the VM of rank 0, or the store when that VM has lost the store too.
+/// Rank of the VM that the others poll when their own relay cannot reach the
+/// store. It polls the VM of rank 0, or the store itself when that VM cannot
+/// reach the store either.
 const FALLBACK_RELAY_RANK: usize = 1;
 
 /// A VM as its entry in the store describes it.
@@ -161,8 +162,8 @@
     }
 
     /// Peer addresses of the VMs that this one polls in place of the store, in
-    /// order of preference. The second one is used while the first has lost the
-    /// store.
+    /// order of preference. The second one is used while the first cannot reach
+    /// the store.
     ///
     /// The running VMs of a region form a tree by their rank in a rendezvous hash
     /// of the region, in which each VM is the first choice of at most ten others,
--- a/crates/filbertgrade-coord/src/steering/registry.rs
+++ b/crates/filbertgrade-coord/src/steering/registry.rs
@@ -135,7 +135,7 @@
     }
 
     /// Removes all endpoints that were kept for the time after an outage, because
-    /// only this VM had lost the store. Returns true when there were any.
+    /// only this VM could not reach the store. Returns true when there were any.
     pub fn remove_unregistered(&mut self) -> bool {
         let before = self.entries.len();
         self.entries.retain(|_, entry| entry.expires_at.is_none());
--- a/crates/filbertgrade-coord/tests/steering/limits.rs
+++ b/crates/filbertgrade-coord/tests/steering/limits.rs
@@ -1,4 +1,4 @@
-//! Tests of the limits of teams, the retry budget, second attempts, and the age
+//! Tests of the limits of teams, the retry budget, hedged attempts, and the age
 //! of the store's confirmation.
 
 use std::collections::HashMap;
@@ -303,9 +303,9 @@
     assert!(f64::from(retries) >= 0.2 * f64::from(requests));
 }
 
-/// Guards against second attempts because of ordinary variation in latency.
+/// Guards against hedged attempts because of ordinary variation in latency.
 #[test]
-fn second_attempt_waits_for_twice_the_expected_latency() {
+fn hedged_attempt_waits_for_twice_the_expected_latency() {
     let after = hedge_delay(Duration::from_millis(400), Duration::from_millis(500));
     assert_eq!(after, Duration::from_millis(800));
     let after = hedge_delay(Duration::from_millis(10), Duration::from_millis(500));
--- a/crates/filbertgrade-coord/tests/steering/registry.rs
+++ b/crates/filbertgrade-coord/tests/steering/registry.rs
@@ -55,7 +55,7 @@
 }
 
 /// Guards against endpoints that get requests for 2 s after they have left,
-/// because only this VM had lost the store.
+/// because only this VM could not reach the store.
 #[test]
 fn kept_endpoints_are_removed_when_the_outage_was_local() {
     let start = Instant::now();
--- a/crates/filbertgrade-standins/src/node/endpoint.rs
+++ b/crates/filbertgrade-standins/src/node/endpoint.rs
@@ -23,7 +23,7 @@
     Silent,
     /// Responds with the id of another request, in the header and in the body.
     CrossesAnswers,
-    /// Responds without the signature header.
+    /// Responds without the header that holds the endpoint's seal.
     Unsigned,
     /// Closes the connection after 5 bytes of the response body.
     CutsAnswers,
@@ -141,14 +141,14 @@
             } else {
                 &id
             };
-            let signature_header = if behavior == EndpointBehavior::Unsigned {
+            let seal_header = if behavior == EndpointBehavior::Unsigned {
                 "x-none"
             } else {
                 "x-filbertgrade-server-seal"
             };
             let body = format!("answer of {} to {response_id}", self.id);
             let response = format!(
-                "HTTP/1.1 {status}\r\nx-filbertgrade-request-id: {response_id}\r\n{signature_header}: s\r\ncontent-length: {}\r\n\r\n",
+                "HTTP/1.1 {status}\r\nx-filbertgrade-request-id: {response_id}\r\n{seal_header}: s\r\ncontent-length: {}\r\n\r\n",
                 body.len()
             );
             stream.write_all(response.as_bytes()).await?;
--- a/crates/filbertgrade-standins/src/soak/client.rs
+++ b/crates/filbertgrade-standins/src/soak/client.rs
@@ -96,8 +96,8 @@
         }
         let body = String::from_utf8_lossy(&self.buf[..length]).into_owned();
         self.buf.drain(..length);
-        let is_signed = !header(&head, "x-filbertgrade-server-seal").is_empty();
-        let is_valid = is_signed && body.ends_with(&format!(" to {id}"));
+        let has_seal = !header(&head, "x-filbertgrade-server-seal").is_empty();
+        let is_valid = has_seal && body.ends_with(&format!(" to {id}"));
         let stays_open = header(&head, "connection") != "close";
         Ok((RequestOutcome { status, is_valid }, stays_open))
     }
--- a/crates/filbertgrade-standins/src/soak/promises.rs
+++ b/crates/filbertgrade-standins/src/soak/promises.rs
@@ -37,7 +37,7 @@
 pub enum Promise {
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// A successful response is complete, signed by the endpoint, and belongs to the caller's
+    /// A successful response is complete, has the endpoint's seal, and belongs to the caller's
     /// request.
     OwnAnswer,
     /// A request that was refused with a status that means "not run" (408, 421, 429 or 503) did not
@@ -118,7 +118,7 @@
 pub struct RequestOutcome {
     /// HTTP status; zero if the caller received no response.
     pub status: u16,
-    /// The response is complete, signed and belongs to this request.
+    /// The response is complete, has the endpoint's seal and belongs to this request.
     pub is_valid: bool,
 }
 
--- a/crates/filbertgrade/examples/compare_admission.rs
+++ b/crates/filbertgrade/examples/compare_admission.rs
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Scheme {
-    /// Each VM has a fixed part of the rate.
+    /// Each VM has a fixed share of the rate.
     Static,
     /// Each VM has a bucket of the whole rate and reports its admissions to the others.
     Reconciled,
--- a/crates/filbertgrade/src/process/agent/allocator.rs
+++ b/crates/filbertgrade/src/process/agent/allocator.rs
@@ -1,5 +1,5 @@
 //! The allocator: the agent that holds the allocator lease. It divides the teams'
-//! limits among the VMs and sets the steering weights of the regions.
+//! limits among the VMs and publishes the region weights.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/crates/filbertgrade/src/process/command/write.rs
+++ b/crates/filbertgrade/src/process/command/write.rs
@@ -114,7 +114,7 @@
 }
 
 /// Reads an object that is known to have reached revision `at_least`. A replica
-/// that lags may answer, so older reads are repeated until `deadline`.
+/// that lags may respond, so older reads are repeated until `deadline`.
 async fn read_from(
     platform: &dyn Platform,
     name: &str,
--- a/crates/filbertgrade/src/process/entry/lookup.rs
+++ b/crates/filbertgrade/src/process/entry/lookup.rs
@@ -28,7 +28,7 @@
 /// Selects and orders the VMs for a client.
 ///
 /// The first region is that of the client's address block or, when there is
-/// none, one chosen according to the steering weights. Within a region, clients
+/// none, one chosen according to the region weights. Within a region, clients
 /// are spread across VMs by their address. The VMs of other regions follow.
 /// This VM is omitted while it is `leaving`.
 #[must_use]
--- a/crates/filbertgrade/src/process/entry/slots/mod.rs
+++ b/crates/filbertgrade/src/process/entry/slots/mod.rs
@@ -143,7 +143,7 @@
 
     /// Acquires a slot, waiting until the deadline at most.
     ///
-    /// The region that the steering weights choose is tried first. The other
+    /// The region that the region weights select is tried first. The other
     /// regions follow without waiting in their queues, as far as the spill
     /// limit permits. Last, the request waits in the queue of the first region.
     /// Endpoints that were ejected after a fault are used only when no region
@@ -271,7 +271,7 @@
             .collect()
     }
 
-    /// Returns the region that the steering weights choose, and the regions
+    /// Returns the region that the region weights select, and the regions
     /// with usable endpoints of the service: the chosen region first, then the
     /// others that receive a share of the traffic. Regions without a share are
     /// included only when no other region is usable.
--- a/crates/filbertgrade/src/process/entry/spill.rs
+++ b/crates/filbertgrade/src/process/entry/spill.rs
@@ -1,5 +1,5 @@
 //! Limits the requests that run in another region than the one that the
-//! steering weights chose (spills).
+//! region weights selected (spills).
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
--- a/crates/filbertgrade/src/process/node/relay.rs
+++ b/crates/filbertgrade/src/process/node/relay.rs
@@ -1,10 +1,10 @@
 //! Relaying of store updates between the nodes of a region.
 //!
 //! One node of each region follows the store. Each of the others pulls updates
-//! from its relay, which is this node or, in a large region, one that itself
-//! pulls from a relay. Calls to the store are counted and
-//! paid for, so their number must not grow with the fleet. A node whose relays
-//! fail calls the store itself.
+//! from its relay, which is that node or, in a large region, another one that
+//! itself pulls from a relay. Calls to the store are counted and paid for, so
+//! their number must not grow with the fleet. A node whose relays fail calls the
+//! store itself.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -139,7 +139,7 @@
             break;
         }
         let now = Instant::now();
-        // The requesting node must not wait for a relay that has lost the
+        // The requesting node must not wait for a relay that cannot reach the
         // store, so the wait ends as soon as the confirmation is too old.
         let outdated_at = store_confirmed_at(node)? + MAX_CONFIRMATION_AGE;
         if now >= deadline || now >= outdated_at {
@@ -167,7 +167,7 @@
 }
 
 /// When the store last confirmed the configuration. This kind has the shortest
-/// watches, so a lost store shows there first.
+/// watches, so a failure of the store shows there first.
 fn store_confirmed_at(node: &Node) -> Option<Instant> {
     node.store_copy
         .with(Kind::Configuration, |copy| copy.confirmed_at())
--- a/crates/filbertgrade/src/process/node/request.rs
+++ b/crates/filbertgrade/src/process/node/request.rs
@@ -394,7 +394,7 @@
     }
 }
 
-/// Picks an endpoint for a second attempt beside one that takes longer than
+/// Picks an endpoint for a hedged attempt beside one that takes longer than
 /// expected. Returns `None` if the attempts or the retry budget are used up, the
 /// body cannot be sent again, or no endpoint can be picked.
 fn hedge(
--- a/crates/filbertgrade/tests/node/cluster.rs
+++ b/crates/filbertgrade/tests/node/cluster.rs
@@ -60,17 +60,17 @@
 }
 
 impl TestCluster {
-    /// Starts one endpoint for each work time in milliseconds, and one node.
-    pub(crate) async fn start(work_ms: &[u64]) -> Self {
-        Self::with_nodes(work_ms, 1).await
+    /// Starts one endpoint for each service time in milliseconds, and one node.
+    pub(crate) async fn start(service_ms: &[u64]) -> Self {
+        Self::with_nodes(service_ms, 1).await
     }
 
-    /// Starts one endpoint for each work time in milliseconds, and `nodes`
+    /// Starts one endpoint for each service time in milliseconds, and `nodes`
     /// nodes; returns when all nodes are ready.
-    pub(crate) async fn with_nodes(work_ms: &[u64], nodes: usize) -> Self {
+    pub(crate) async fn with_nodes(service_ms: &[u64], nodes: usize) -> Self {
         let store = Store::start().await.unwrap();
         let mut endpoints = Vec::new();
-        for (n, ms) in work_ms.iter().enumerate() {
+        for (n, ms) in service_ms.iter().enumerate() {
             let id = format!("i-{n}");
             endpoints.push(
                 Endpoint::start(&id, Duration::from_millis(*ms))
--- a/crates/filbertgrade/tests/path/streaming.rs
+++ b/crates/filbertgrade/tests/path/streaming.rs
@@ -66,7 +66,7 @@
         growth < MAX_MEMORY_GROWTH,
         "the entry grew by {growth} bytes"
     );
-    // The steering weights decide in which region the request runs.
+    // The region weights decide in which region the request runs.
     let busy: usize = fleet.backends.iter().map(BackendServer::busy).sum();
     assert!(busy == 1, "the response must still be in progress");
     let complete = response.into_body().collect().await.unwrap().to_bytes();
